--- a/src/croftchute/gateway/calls.py
+++ b/src/croftchute/gateway/calls.py
@@ -13,7 +13,7 @@
 from croftchute.ids import minted_at
 from croftchute.peers.messages import Finish
 from croftchute.steady_clock import steady_s
-from croftchute.systems.dedupe import MAX_STORED_ANSWER
+from croftchute.systems.dedupe import MAX_STORED_ANSWER_BYTES
 from croftchute.systems.worker_wishes import WorkerWishes
 from croftchute.tables.dedupe import Decision, Phase
 from croftchute.upstreams.service import Service, ServiceAnswer, ServiceCall
@@ -168,7 +168,7 @@
         self, request: CallRequest, phase: Phase, answer: ServiceAnswer | None = None
     ) -> None:
         body = answer.body if answer is not None else b""
-        if len(body) > MAX_STORED_ANSWER:
+        if len(body) > MAX_STORED_ANSWER_BYTES:
             body, phase = b"", Phase.DELIVERED
         finish = Finish(
             key=request.key,
--- a/src/croftchute/policies/runner.py
+++ b/src/croftchute/policies/runner.py
@@ -11,9 +11,9 @@
 from croftchute.systems.owner import Ordered
 from croftchute.systems.placement import Placement
 
-OVERRUN_S = 0.002
-REST_AFTER_FAILURES = 5
-REST_S = 10.0
+MAX_RUN_S = 0.002
+MAX_CONSECUTIVE_FAILURES = 5
+SUSPENSION_S = 10.0
 
 
 class PolicyRunner:
@@ -47,16 +47,16 @@
             ids = compiled.order(_request(ask), [_candidate(p, placements) for p in placements])
         except PolicyError as error:
             return self._failed(policy, placements, error.message)
-        if self.clock() - started > OVERRUN_S:
-            return self._failed(policy, placements, f"{policy}: overran {OVERRUN_S} s")
+        if self.clock() - started > MAX_RUN_S:
+            return self._failed(policy, placements, f"{policy}: overran {MAX_RUN_S} s")
         self.failures_by_policy[policy] = 0
         return Ordered(placements=[by_id[id] for id in ids])
 
     def _failed(self, policy: str, placements: Sequence[Placement], failure: str) -> Ordered:
         count = self.failures_by_policy.get(policy, 0) + 1
         self.failures_by_policy[policy] = count
-        if count >= REST_AFTER_FAILURES:
-            self._rests_until[policy] = self.clock() + REST_S
+        if count >= MAX_CONSECUTIVE_FAILURES:
+            self._rests_until[policy] = self.clock() + SUSPENSION_S
             self.failures_by_policy[policy] = 0
         return Ordered(placements=placements, failure=failure)
 
--- a/src/croftchute/systems/admission.py
+++ b/src/croftchute/systems/admission.py
@@ -8,11 +8,11 @@
 from __future__ import annotations
 
 MAX_PRIORITY = 9
-LOWEST_PRIORITY_SHARE = 0.7
-EXCESS_FREE = 2.0
-EXCESS_FLOOR = 0.4
-SAFETY_SHARE = 0.98
-WASTE_MARGIN = 0.05
+MIN_PRIORITY_SHARE = 0.7
+MAX_EXCESS_UNPENALISED = 2.0
+MIN_FAIRNESS_SHARE = 0.4
+USABLE_TARGET_SHARE = 0.98
+WASTE_AVERSION_MARGIN = 0.05
 
 
 def priority_share(priority: int) -> float:
@@ -22,7 +22,7 @@
     1.0
     """
     clipped = min(MAX_PRIORITY, max(0, priority))
-    return LOWEST_PRIORITY_SHARE + (1.0 - LOWEST_PRIORITY_SHARE) * clipped / MAX_PRIORITY
+    return MIN_PRIORITY_SHARE + (1.0 - MIN_PRIORITY_SHARE) * clipped / MAX_PRIORITY
 
 
 def fairness_share(excess: float) -> float:
@@ -31,12 +31,12 @@
     >>> fairness_share(1.0), fairness_share(4.0)
     (1.0, 0.5)
     """
-    if excess <= EXCESS_FREE:
+    if excess <= MAX_EXCESS_UNPENALISED:
         return 1.0
-    return max(EXCESS_FLOOR, EXCESS_FREE / excess)
+    return max(MIN_FAIRNESS_SHARE, MAX_EXCESS_UNPENALISED / excess)
 
 
-def queue_limit(
+def max_queue_s(
     *,
     ttft_s: float,
     service_s: float,
@@ -51,7 +51,7 @@
     capacity (``pressure``, 0 to 1), so an idle shard refuses nobody who can meet the target,
     however much they have used.
     """
-    margin = SAFETY_SHARE - WASTE_MARGIN * waste_aversion
+    margin = USABLE_TARGET_SHARE - WASTE_AVERSION_MARGIN * waste_aversion
     left = ttft_s * margin - service_s
     if left <= 0:
         return left
--- a/src/croftchute/systems/box.py
+++ b/src/croftchute/systems/box.py
@@ -47,12 +47,12 @@
 from croftchute.tables.upstreams import EngineReport, Topology
 from croftchute.timeline.events import Event, Kind
 
-REANNOUNCE_S = (0.0, 0.5, 1.5)
-FETCH_RETRY_S = 0.3
-REPAIR_EVERY_S = 1.0
-RELAYS = 2
-FIRST_BEATS = 10
-INTRODUCE_EVERY = 8
+ANNOUNCE_DELAYS_S = (0.0, 0.5, 1.5)
+FETCH_INTERVAL_S = 0.3
+REPAIR_INTERVAL_S = 1.0
+RELAYS_PER_HALL = 2
+FIRST_FULL_HEARTBEATS = 10
+FULL_HEARTBEAT_EVERY = 8
 
 
 class BoxSystems:
@@ -234,7 +234,7 @@
         newer_config = beat.revision > self.topology.revision
         newer_map = beat.map_version > self.dedupe.map.version
         if (newer_config or newer_map) and now >= self._next_fetch_at:
-            self._next_fetch_at = now + FETCH_RETRY_S
+            self._next_fetch_at = now + FETCH_INTERVAL_S
             commands.append(FetchShared(box=sender))
         return commands
 
@@ -261,7 +261,7 @@
         commands = self.owner.set_shards(self.topology, own, now)
         for shard_id, owner in self.owners_by_shard.items():
             if before.get(shard_id) not in (None, owner):
-                self._announcements += [(now + after, shard_id) for after in REANNOUNCE_S]
+                self._announcements += [(now + after, shard_id) for after in ANNOUNCE_DELAYS_S]
         return commands + self._announce_due(now)
 
     def _announce_due(self, now: float) -> list[Command]:
@@ -289,7 +289,7 @@
             digests=digests,
         )
         self._beats += 1
-        if self._beats <= FIRST_BEATS or self._beats % INTRODUCE_EVERY == 0:
+        if self._beats <= FIRST_FULL_HEARTBEATS or self._beats % FULL_HEARTBEAT_EVERY == 0:
             body = replace(
                 body,
                 hall=self.own.hall,
@@ -308,7 +308,7 @@
     @property
     def is_relay(self) -> bool:
         """Whether this box is one of the few of its hall that talk to the platform."""
-        return self.own.id in rank("relay", self.membership.live_ids())[:RELAYS]
+        return self.own.id in rank("relay", self.membership.live_ids())[:RELAYS_PER_HALL]
 
     def _listeners(self) -> list[str]:
         """Who hears this box: its hall; from a relay, also a few boxes of every other hall."""
@@ -319,7 +319,7 @@
         for hall in sorted({box.hall for box in boxes if box.hall != self.own.hall}):
             there = [box.id for box in boxes if box.hall == hall]
             live = [box for box in there if self.membership.is_live(box)]
-            ids += rank("relay", live or there)[:RELAYS]
+            ids += rank("relay", live or there)[:RELAYS_PER_HALL]
         return ids
 
     def learn_ranges(self, known: RangeMap, now: float) -> list[Command]:
@@ -329,7 +329,7 @@
     def _repair_ranges(self, now: float) -> list[Command]:
         if now < self._next_repair_at:
             return []
-        self._next_repair_at = now + REPAIR_EVERY_S
+        self._next_repair_at = now + REPAIR_INTERVAL_S
         known = self.dedupe.map
         if not known.rows:
             rows = first_rows(self._members_by_hall()) if self.is_relay else ()
--- a/src/croftchute/systems/budget.py
+++ b/src/croftchute/systems/budget.py
@@ -2,14 +2,16 @@
 
 from __future__ import annotations
 
-RETRY_SHARE = 0.1
-MAX_SAVED = 20.0
+RETRIES_PER_REQUEST = 0.1
+MAX_SAVED_RETRIES = 20.0
 
 
 class RetryBudget:
     """Earns a share of a retry with each request, spends one with each retry."""
 
-    def __init__(self, *, share: float = RETRY_SHARE, saved: float = MAX_SAVED) -> None:
+    def __init__(
+        self, *, share: float = RETRIES_PER_REQUEST, saved: float = MAX_SAVED_RETRIES
+    ) -> None:
         self.share = share
         self.saved = saved
 
@@ -18,7 +20,7 @@
 
     def earn(self) -> None:
         """Count a new request."""
-        self.saved = min(MAX_SAVED, self.saved + self.share)
+        self.saved = min(MAX_SAVED_RETRIES, self.saved + self.share)
 
     def spend(self) -> bool:
         """Take one retry out of the budget, if there is one."""
--- a/src/croftchute/systems/cancels.py
+++ b/src/croftchute/systems/cancels.py
@@ -7,9 +7,9 @@
 from croftchute.commands import CancelAttempt, Command, Emit
 from croftchute.timeline.events import Event, Kind
 
-RETRY_S = 0.2
-MAX_RETRY_S = 2.0
-GIVE_UP_S = 120.0
+FIRST_RETRY_DELAY_S = 0.2
+MAX_RETRY_DELAY_S = 2.0
+CANCEL_TIMEOUT_S = 120.0
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
@@ -50,12 +50,12 @@
         """Send the cancels that are due."""
         commands: list[Command] = []
         for target, cancel in list(self.pending_by_target.items()):
-            if now - cancel.since > GIVE_UP_S:
+            if now - cancel.since > CANCEL_TIMEOUT_S:
                 del self.pending_by_target[target]
                 continue
             if now < cancel.next_at:
                 continue
-            wait = min(MAX_RETRY_S, RETRY_S * (2**cancel.tries))
+            wait = min(MAX_RETRY_DELAY_S, FIRST_RETRY_DELAY_S * (2**cancel.tries))
             self.pending_by_target[target] = replace(
                 cancel, next_at=now + wait, tries=cancel.tries + 1
             )
--- a/src/croftchute/systems/dedupe.py
+++ b/src/croftchute/systems/dedupe.py
@@ -12,7 +12,7 @@
 from croftchute.commands import Command, DecideCall, Emit, SendPeer
 from croftchute.errors import Code
 from croftchute.peers.messages import Begin, Body, Finish, Mirror, Mirrored, Verdict
-from croftchute.systems.dedupe_map import CLOCK_SKEW_S
+from croftchute.systems.dedupe_map import MAX_CLOCK_SKEW_S
 from croftchute.tables.dedupe import (
     EMPTY_MAP,
     Decision,
@@ -25,14 +25,14 @@
 )
 from croftchute.timeline.events import Event, Kind
 
-RETRY_S = 0.1
-GIVE_UP_S = 1.0
-FINISH_GIVE_UP_S = 30.0
-SYNC_RETRY_S = 0.5
-RUNNING_LIMIT_S = 60.0
+RESEND_INTERVAL_S = 0.1
+VERDICT_TIMEOUT_S = 1.0
+FINISH_TIMEOUT_S = 30.0
+SYNC_INTERVAL_S = 0.5
+MAX_RUNNING_S = 60.0
 RECORD_TTL_S = 900.0
-SWEEP_S = 5.0
-MAX_STORED_ANSWER = 32768
+SWEEP_INTERVAL_S = 5.0
+MAX_STORED_ANSWER_BYTES = 32768
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
@@ -127,11 +127,11 @@
         a key cannot have run before.
         """
         row = self._rows_by_index.get(range_of(key))
-        if minted is not None and minted > now + CLOCK_SKEW_S:
+        if minted is not None and minted > now + MAX_CLOCK_SKEW_S:
             return [_decide(token, Decision.REFUSE, Code.KEY_INVALID)]
         if row is None:
             return [_decide(token, Decision.REFUSE, Code.DEDUPE_UNAVAILABLE)]
-        if minted is not None and minted < max(row.floor, now - RECORD_TTL_S + CLOCK_SKEW_S):
+        if minted is not None and minted < max(row.floor, now - RECORD_TTL_S + MAX_CLOCK_SKEW_S):
             return self._ask_first(row, key, token, now, old=True)
         return self._ask_first(row, key, token, now, old=False)
 
@@ -164,10 +164,10 @@
         """Repeat what was not answered, synchronise new seconds, drop old records."""
         commands = self._repeat(now)
         if now >= self._next_sync_at:
-            self._next_sync_at = now + SYNC_RETRY_S
+            self._next_sync_at = now + SYNC_INTERVAL_S
             commands += self._synchronise(now)
         if now >= self._next_sweep_at:
-            self._next_sweep_at = now + SWEEP_S
+            self._next_sweep_at = now + SWEEP_INTERVAL_S
             self._sweep(now)
         return commands
 
@@ -207,7 +207,7 @@
             )
         if record.phase is Phase.DELIVERED:
             return _refusal(body, Code.ALREADY_ANSWERED)
-        running = record.phase is Phase.GRANTED and now - record.at < RUNNING_LIMIT_S
+        running = record.phase is Phase.GRANTED and now - record.at < MAX_RUNNING_S
         return _refusal(body, Code.IN_PROGRESS if running else Code.OUTCOME_UNKNOWN)
 
     def _mirror(self, sender: str, body: Mirror, now: float) -> list[Command]:
@@ -310,12 +310,12 @@
         commands: list[Command] = []
         for name, waiting in list(self._waiting_by_token.items()):
             begins = isinstance(waiting.body, Begin)
-            if now - waiting.since > (GIVE_UP_S if begins else FINISH_GIVE_UP_S):
+            if now - waiting.since > (VERDICT_TIMEOUT_S if begins else FINISH_TIMEOUT_S):
                 del self._waiting_by_token[name]
                 if begins:
                     commands += self._abandon(waiting, now)
                 continue
-            if now - waiting.sent_at < RETRY_S:
+            if now - waiting.sent_at < RESEND_INTERVAL_S:
                 continue
             row = self._rows_by_index[range_of(waiting.key)]
             sign = -1 if waiting.body.epoch < 0 else 1
--- a/src/croftchute/systems/dedupe_map.py
+++ b/src/croftchute/systems/dedupe_map.py
@@ -13,7 +13,7 @@
 from croftchute.systems.rendezvous import rank
 from croftchute.tables.dedupe import RANGES, Member, RangeMap, RangeRow
 
-CLOCK_SKEW_S = 5.0
+MAX_CLOCK_SKEW_S = 5.0
 
 Predicate = Callable[[Member], bool]
 
@@ -91,7 +91,7 @@
             return row
         return _with_survivor(row, own, [spare for spare in spares if spare != own])
     if all(has_ended(member) for member in pair) and len(spares) > 1:
-        return _row(row.index, epoch=row.epoch + 1, floor=now + CLOCK_SKEW_S, members=spares)
+        return _row(row.index, epoch=row.epoch + 1, floor=now + MAX_CLOCK_SKEW_S, members=spares)
     return row
 
 
--- a/src/croftchute/systems/entry.py
+++ b/src/croftchute/systems/entry.py
@@ -32,18 +32,18 @@
 from croftchute.tables.upstreams import Topology
 from croftchute.timeline.events import Event, Kind
 
-ASK_TIMEOUT_S = 0.06
-ASKS_PER_SHARD = 2
-LAST_ASK_PAUSE_S = 0.4
+ASK_INTERVAL_S = 0.06
+MAX_ASKS_PER_SHARD = 2
+LAST_SHARD_ASK_INTERVAL_S = 0.4
 """Seconds between two askings of the last shard for an answer that has begun: an owner on a busy
 machine was seen to answer after 0.3 to 0.5 s."""
 
-RESUME_WAIT_S = 2.0
+MAX_RESUME_WAIT_S = 2.0
 """Seconds for which an answer that has begun waits for a place: as long as callers of streams
 bear a gap. Without a place for that long it is given up, since engines may be gone for good."""
 
 MAX_ATTEMPTS = 4
-FINAL_DECLINES = (Code.DEADLINE_PASSED, Code.POLICY_REFUSED, Code.MODEL_UNKNOWN)
+FINAL_DECLINE_CODES = (Code.DEADLINE_PASSED, Code.POLICY_REFUSED, Code.MODEL_UNKNOWN)
 
 
 class Entry:
@@ -154,7 +154,7 @@
         )
         commands: list[Command] = [Emit(event=event)]
         row = changed(row, retry_after_s=max(body.retry_after_s, 0.5))
-        if body.code in FINAL_DECLINES:
+        if body.code in FINAL_DECLINE_CODES:
             return commands + self._give_up(row, body.code, now)
         if row.candidates:
             return commands + self._ask_next(row, now)
@@ -238,9 +238,9 @@
             row = self.open_by_id[request_id]
             if now > row.request.deadline_at:
                 commands += self._give_up(row, Code.DEADLINE_PASSED, now)
-            elif now - row.asked_at < _ask_pause_s(row):
+            elif now - row.asked_at < _ask_interval_s(row):
                 continue
-            elif row.asks < ASKS_PER_SHARD or row.has_only_this_shard:
+            elif row.asks < MAX_ASKS_PER_SHARD or row.has_only_this_shard:
                 commands += self._ask(changed(row, asks=row.asks + 1), now)
             else:
                 commands.append(self._release_asked(row))
@@ -269,7 +269,7 @@
 
     def _ask_later(self, row: OpenRequest, now: float) -> list[Command]:
         """Let an answer that has begun wait for a place, at any engine that may be back."""
-        asks = max(row.asks, ASKS_PER_SHARD)
+        asks = max(row.asks, MAX_ASKS_PER_SHARD)
         self.open_by_id[row.request.id] = changed(row, asked_at=now, asks=asks, avoid=())
         return []
 
@@ -309,7 +309,7 @@
         candidates = self.chooser.candidates(row.request, self.topology, now)
         if not candidates:
             return self._give_up(row, end.code, now, ran=Ran.RAN)
-        wait_ends_at = now + RESUME_WAIT_S
+        wait_ends_at = now + MAX_RESUME_WAIT_S
         return self._ask_next(changed(row, candidates=candidates, wait_ends_at=wait_ends_at), now)
 
     def _end_plan(self, row: OpenRequest, end: AttemptEnd, now: float) -> list[Command]:
@@ -388,6 +388,6 @@
         return self.budgets_by_pool.setdefault(pool, RetryBudget())
 
 
-def _ask_pause_s(row: OpenRequest) -> float:
-    is_late_asking = row.asks >= ASKS_PER_SHARD and row.has_only_this_shard
-    return LAST_ASK_PAUSE_S if is_late_asking else ASK_TIMEOUT_S
+def _ask_interval_s(row: OpenRequest) -> float:
+    is_late_asking = row.asks >= MAX_ASKS_PER_SHARD and row.has_only_this_shard
+    return LAST_SHARD_ASK_INTERVAL_S if is_late_asking else ASK_INTERVAL_S
--- a/src/croftchute/systems/fairness.py
+++ b/src/croftchute/systems/fairness.py
@@ -4,10 +4,10 @@
 
 from math import exp
 
-HALF_LIFE_S = 10.0
-DECAY = 0.6931471805599453 / HALF_LIFE_S
-FORGET_BELOW = 1.0
-MAX_CALLERS = 4096
+USE_HALF_LIFE_S = 10.0
+DECAY_PER_S = 0.6931471805599453 / USE_HALF_LIFE_S
+MIN_KEPT_USE = 1.0
+MAX_METERED_CALLERS = 4096
 
 
 class ShareMeter:
@@ -25,11 +25,11 @@
     def charge(self, caller: str, tokens: float, *, weight: float, now: float) -> None:
         """Add use to a caller."""
         if caller not in self._use_by_caller:
-            if len(self._use_by_caller) >= MAX_CALLERS:
+            if len(self._use_by_caller) >= MAX_METERED_CALLERS:
                 self.sweep(now)
             self._weights += weight
         self._use_by_caller[caller] = (self.use(caller, now) + tokens / weight, now)
-        self._total = self._total * exp(-DECAY * max(0.0, now - self._total_at)) + tokens
+        self._total = self._total * exp(-DECAY_PER_S * max(0.0, now - self._total_at)) + tokens
         self._total_at = now
 
     def use(self, caller: str, now: float) -> float:
@@ -38,13 +38,13 @@
         if entry is None:
             return 0.0
         amount, at = entry
-        return amount * exp(-DECAY * max(0.0, now - at))
+        return amount * exp(-DECAY_PER_S * max(0.0, now - at))
 
     def excess(self, caller: str, now: float) -> float:
         """How many times its fair share a caller uses; 1 means exactly its share."""
         if self._total <= 0.0 or self._weights <= 0.0:
             return 0.0
-        total = self._total * exp(-DECAY * max(0.0, now - self._total_at))
+        total = self._total * exp(-DECAY_PER_S * max(0.0, now - self._total_at))
         fair = total / self._weights
         return self.use(caller, now) / fair if fair > 0 else 0.0
 
@@ -53,7 +53,7 @@
         kept = {
             caller: entry
             for caller, entry in self._use_by_caller.items()
-            if self.use(caller, now) >= FORGET_BELOW
+            if self.use(caller, now) >= MIN_KEPT_USE
         }
         dropped = len(self._use_by_caller) - len(kept)
         if self._use_by_caller:
--- a/src/croftchute/systems/ledger.py
+++ b/src/croftchute/systems/ledger.py
@@ -10,11 +10,11 @@
 from croftchute.tables.rows import changed
 from croftchute.tables.upstreams import EngineFact, EngineLoad, EngineReport
 
-RECENT_GRANTS = 64
-SUSPECT_S = 0.5
-UNREACHABLE_S = 1.0
-CLOSE_FILL = 0.97
-OPEN_FILL = 0.92
+MAX_RECENT_GRANTS = 64
+SUSPECT_DURATION_S = 0.5
+UNREACHABLE_DURATION_S = 1.0
+CLOSE_AT_KV_FILL = 0.97
+REOPEN_AT_KV_FILL = 0.92
 
 
 class Ledger:
@@ -57,7 +57,7 @@
             prefill, prefill_free_at=placement.prefill_end_at
         )
         cost = placement.prefill_end_at - placement.prefill_start_at
-        recent = self._recent_by_engine.setdefault(prefill.id, deque(maxlen=RECENT_GRANTS))
+        recent = self._recent_by_engine.setdefault(prefill.id, deque(maxlen=MAX_RECENT_GRANTS))
         recent.append((now, cost))
         if placement.decode_id != placement.prefill_id:
             decode = self.loads_by_engine[placement.decode_id]
@@ -97,7 +97,7 @@
             if granted_at > report.as_of:
                 free_at = max(free_at, granted_at) + cost
         fill = report.kv_used_tokens / fact.kv_tokens
-        closed = fill > (OPEN_FILL if load.closed else CLOSE_FILL)
+        closed = fill > (REOPEN_AT_KV_FILL if load.closed else CLOSE_AT_KV_FILL)
         self.loads_by_engine[fact.id] = changed(
             load,
             report=report,
@@ -110,13 +110,15 @@
         """Prefer other engines for a while, after a failed call."""
         load = self.loads_by_engine.get(engine_id)
         if load is not None:
-            self.loads_by_engine[engine_id] = changed(load, suspect_until=now + SUSPECT_S)
+            self.loads_by_engine[engine_id] = changed(load, suspect_until=now + SUSPECT_DURATION_S)
 
     def unreachable(self, engine_id: str, now: float) -> None:
         """Keep new work off an engine for a while."""
         load = self.loads_by_engine.get(engine_id)
         if load is not None:
-            self.loads_by_engine[engine_id] = changed(load, unreachable_until=now + UNREACHABLE_S)
+            self.loads_by_engine[engine_id] = changed(
+                load, unreachable_until=now + UNREACHABLE_DURATION_S
+            )
 
     def rest(self, engine_id: str, rest_s: float, now: float) -> None:
         """Keep new work off an engine that asked for rest, for as long as it asked."""
--- a/src/croftchute/systems/membership.py
+++ b/src/croftchute/systems/membership.py
@@ -9,7 +9,7 @@
 from croftchute.tables.boxes import Box, BoxState
 from croftchute.timeline.events import Event, Kind
 
-PAUSE_SHARE = 0.25
+MAX_CHECK_GAP_SHARE = 0.25
 """Share of the time to suspicion that may lie between two looks: after more than that this box was
 itself held up, and heartbeats that came meanwhile may not have been read yet."""
 
@@ -70,7 +70,7 @@
     def _note_look(self, now: float) -> None:
         """After a pause of this box others get the whole time anew."""
         looked_at, self._looked_at = self._looked_at, now
-        if looked_at is not None and now - looked_at > PAUSE_SHARE * self.suspect_after_s:
+        if looked_at is not None and now - looked_at > MAX_CHECK_GAP_SHARE * self.suspect_after_s:
             self._resumed_at = now
 
     def is_live(self, box_id: str) -> bool:
--- a/src/croftchute/systems/owner.py
+++ b/src/croftchute/systems/owner.py
@@ -15,7 +15,7 @@
     Released,
     Reserve,
 )
-from croftchute.systems.admission import queue_limit
+from croftchute.systems.admission import max_queue_s
 from croftchute.systems.cancels import Cancels
 from croftchute.systems.fairness import ShareMeter
 from croftchute.systems.ledger import Ledger, committed
@@ -37,8 +37,8 @@
 from croftchute.timeline.events import Event, Kind
 
 AUDIT_AFTER_S = 5.0
-AUDIT_EVERY_S = 1.0
-EXPIRY_GRACE_S = 5.0
+AUDIT_INTERVAL_S = 1.0
+DEADLINE_GRACE_S = 5.0
 MIN_RETRY_AFTER_S = 0.5
 ANY_CALLER = "*"
 
@@ -235,11 +235,11 @@
         """Ask entry boxes about old reservations and drop those past their deadline."""
         if now < self._next_audit_at:
             return []
-        self._next_audit_at = now + AUDIT_EVERY_S
+        self._next_audit_at = now + AUDIT_INTERVAL_S
         due: dict[tuple[str, str], list[str]] = {}
         commands: list[Command] = []
         for key, held in list(self.ledger.reservations_by_key.items()):
-            if now > held.deadline_at + EXPIRY_GRACE_S:
+            if now > held.deadline_at + DEADLINE_GRACE_S:
                 commands += self._drop(key, "deadline passed", now)
             elif now - held.confirmed_at > AUDIT_AFTER_S:
                 due.setdefault((held.entry_box, held.shard), []).append(key)
@@ -287,19 +287,19 @@
         pressure = self.pressure_by_shard[ask.shard]
         service = placement.service_s
         queued = ask.waited_s + wait - service
-        if queued > self._queue_limit(ask, service, excess=0.0, pressure=0.0):
+        if queued > self._max_queue_s(ask, service, excess=0.0, pressure=0.0):
             pressure.note(declined=True)
             return Code.TARGET_UNREACHABLE
         pressure.note(declined=False)
         excess = self.meters_by_shard[ask.shard].excess(ask.caller, now)
-        if queued <= self._queue_limit(ask, service, excess=excess, pressure=pressure.level):
+        if queued <= self._max_queue_s(ask, service, excess=excess, pressure=pressure.level):
             return None
         return Code.OVER_SHARE
 
-    def _queue_limit(
+    def _max_queue_s(
         self, ask: Reserve, service_s: float, *, excess: float, pressure: float
     ) -> float:
-        return queue_limit(
+        return max_queue_s(
             ttft_s=self.topology.ttft_s,
             service_s=service_s,
             priority=ask.priority,
--- a/src/croftchute/systems/placement.py
+++ b/src/croftchute/systems/placement.py
@@ -12,11 +12,11 @@
 from croftchute.tables.upstreams import EngineFact, EngineLoad
 
 MIN_SIGMAS = 0.5
-EXTRA_SIGMAS = 1.5
-GROWTH_SHARE = 0.8
-TTL_SHARE = 0.8
-MEMORY_FILL_LIMIT = 0.98
-SHORTLIST = 4
+MAX_EXTRA_SIGMAS = 1.5
+COMMITTED_OUTPUT_SHARE = 0.8
+MAX_RESULT_TTL_SHARE = 0.8
+MAX_KV_FILL = 0.98
+MAX_SHORTLIST = 4
 
 
 class Ask(Row, frozen=True, kw_only=True):
@@ -55,17 +55,17 @@
 
 def memory_share(ask: Ask) -> float:
     """KV tokens to commit for a request: its prompt and most of its expected growth."""
-    return ask.prompt_tokens + GROWTH_SHARE * ask.expected_output
+    return ask.prompt_tokens + COMMITTED_OUTPUT_SHARE * ask.expected_output
 
 
 def has_memory(load: EngineLoad, fact: EngineFact, ask: Ask, *, waste_aversion: float) -> bool:
     """Whether a decode engine has a free slot and room for the request's likely growth."""
     if load.running >= fact.slots:
         return False
-    sigmas = MIN_SIGMAS + EXTRA_SIGMAS * waste_aversion
+    sigmas = MIN_SIGMAS + MAX_EXTRA_SIGMAS * waste_aversion
     spread = sigmas * sqrt(load.kv_variance + ask.output_variance)
     committed = load.kv_committed + memory_share(ask) + spread
-    return committed <= fact.kv_tokens * MEMORY_FILL_LIMIT
+    return committed <= fact.kv_tokens * MAX_KV_FILL
 
 
 def prefill_slots(
@@ -126,7 +126,7 @@
     if slot.engine_id != fact.id:
         transfer = ask.prompt_tokens * ask.kv_bytes_per_token / fact.link_bytes_per_s
     transfer_end = max(slot.end_at, load.ingress_free_at, now) + transfer
-    if transfer_end - slot.end_at > ask.result_ttl_s * TTL_SHARE:
+    if transfer_end - slot.end_at > ask.result_ttl_s * MAX_RESULT_TTL_SHARE:
         return None
     return Placement(
         prefill_id=slot.engine_id,
@@ -159,7 +159,7 @@
         if placement is not None:
             found.append(placement)
     found.sort(key=lambda placement: placement.first_token_at)
-    return found[:SHORTLIST]
+    return found[:MAX_SHORTLIST]
 
 
 def _is_last_resort(load: EngineLoad, ask: Ask, now: float) -> bool:
--- a/src/croftchute/systems/prefix_index.py
+++ b/src/croftchute/systems/prefix_index.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 
 BLOCK_TOKENS = 64
-DOUBTFUL_CREDIT = 0.5
+STALE_BLOCK_CREDIT = 0.5
 MAX_BLOCKS = 8192
 
 
@@ -67,5 +67,5 @@
             era = self._era_by_block.get(block)
             if era is None:
                 break
-            tokens += BLOCK_TOKENS if era == self._era else BLOCK_TOKENS * DOUBTFUL_CREDIT
+            tokens += BLOCK_TOKENS if era == self._era else BLOCK_TOKENS * STALE_BLOCK_CREDIT
         return tokens
--- a/src/croftchute/systems/pressure.py
+++ b/src/croftchute/systems/pressure.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 LEARNING_RATE = 0.03
-FULL_PRESSURE = 0.1
+FULL_PRESSURE_DECLINED_SHARE = 0.1
 
 
 class Pressure:
@@ -18,7 +18,7 @@
     @property
     def level(self) -> float:
         """0 without declines, 1 from a tenth of the asks on."""
-        return min(1.0, self.declined_share / FULL_PRESSURE)
+        return min(1.0, self.declined_share / FULL_PRESSURE_DECLINED_SHARE)
 
     def note(self, *, declined: bool) -> None:
         """Count an ask; declined means that nobody's ask of that size could have been granted."""
--- a/src/croftchute/systems/shard_choice.py
+++ b/src/croftchute/systems/shard_choice.py
@@ -8,12 +8,12 @@
 from croftchute.tables.requests import Request
 from croftchute.tables.upstreams import Shard, ShardDigest, Topology
 
-SAMPLES = 4
-CANDIDATES = 3
-UNKNOWN_WAIT_S = 0.05
+MAX_SAMPLED_SHARDS = 4
+MAX_CANDIDATES = 3
+UNKNOWN_SHARD_WAIT_S = 0.05
 AFFINITY_CREDIT_S = 0.05
-PENDING_COST_S = 0.01
-FULL_PENALTY_S = 1.0
+PENDING_ASK_COST_S = 0.01
+UNAVAILABLE_PENALTY_S = 1.0
 
 
 class ShardChooser:
@@ -43,14 +43,14 @@
         if home is not None and home not in sample:
             sample.append(home)
         scored = sorted(sample, key=lambda shard: (self._score(shard, home, request), shard.id))
-        chosen = tuple(shard.id for shard in scored[:CANDIDATES])
+        chosen = tuple(shard.id for shard in scored[:MAX_CANDIDATES])
         self._asked_since[chosen[0]] = self._asked_since.get(chosen[0], 0) + 1
         return chosen
 
     def _sample(self, shards: tuple[Shard, ...]) -> list[Shard]:
-        if len(shards) <= SAMPLES:
+        if len(shards) <= MAX_SAMPLED_SHARDS:
             return list(shards)
-        return self.rng.sample(shards, SAMPLES)
+        return self.rng.sample(shards, MAX_SAMPLED_SHARDS)
 
     def _home(self, request: Request, shards: tuple[Shard, ...]) -> Shard | None:
         """The shard that a prompt's first block belongs to, so that its prefix is reused."""
@@ -61,11 +61,11 @@
 
     def _score(self, shard: Shard, home: Shard | None, request: Request) -> float:
         digest = self.digests_by_shard.get(shard.id)
-        pending = PENDING_COST_S * self._asked_since.get(shard.id, 0)
+        pending = PENDING_ASK_COST_S * self._asked_since.get(shard.id, 0)
         credit = AFFINITY_CREDIT_S if home is shard else 0.0
-        unreachable = 0.0 if self.reachable(shard.id) else FULL_PENALTY_S
+        unreachable = 0.0 if self.reachable(shard.id) else UNAVAILABLE_PENALTY_S
         if digest is None:
-            return UNKNOWN_WAIT_S + pending - credit + unreachable
+            return UNKNOWN_SHARD_WAIT_S + pending - credit + unreachable
         full = digest.free_slots <= 0 or digest.free_kv_tokens < request.prompt_tokens
-        penalty = FULL_PENALTY_S if full else 0.0
+        penalty = UNAVAILABLE_PENALTY_S if full else 0.0
         return digest.prefill_wait_s + pending + penalty - credit + unreachable
--- a/tests/policies/test_runner.py
+++ b/tests/policies/test_runner.py
@@ -4,7 +4,12 @@
 from croftchute.bench.slopes import reserve_body
 from croftchute.config.checks import parse_document
 from croftchute.config.documents import PolicySpec
-from croftchute.policies.runner import OVERRUN_S, REST_AFTER_FAILURES, REST_S, PolicyRunner
+from croftchute.policies.runner import (
+    MAX_CONSECUTIVE_FAILURES,
+    MAX_RUN_S,
+    SUSPENSION_S,
+    PolicyRunner,
+)
 from croftchute.systems.placement import Placement
 
 DAKAR = parse_document((Path(__file__).parents[2] / "examples" / "dakar.json").read_bytes())
@@ -51,7 +56,7 @@
 
 def test_a_policy_that_fails_keeps_the_order_and_rests_after_a_while():
     broken = runner("  return candidates[7]\n")
-    for n in range(REST_AFTER_FAILURES):
+    for n in range(MAX_CONSECUTIVE_FAILURES):
         ordered = broken.order("x", reserve_body(), CHOICES)
         assert decodes(ordered) == ["d1", "d2"], n
         assert "x" in ordered.failure
@@ -59,7 +64,7 @@
 
 
 def test_a_policy_that_overruns_keeps_the_order():
-    slow = runner("  return ['p>d2']\n", [0.0, 2 * OVERRUN_S, 1.0, 1.0])
+    slow = runner("  return ['p>d2']\n", [0.0, 2 * MAX_RUN_S, 1.0, 1.0])
     first = slow.order("x", reserve_body(), CHOICES)
     assert decodes(first) == ["d1", "d2"]
     assert "overran" in first.failure
@@ -68,8 +73,8 @@
 
 def test_rest_ends():
     # Each call reads the clock once, the one that begins the rest a second time.
-    times = [0.0] * (REST_AFTER_FAILURES + 1) + [REST_S + 1.0] * 9
+    times = [0.0] * (MAX_CONSECUTIVE_FAILURES + 1) + [SUSPENSION_S + 1.0] * 9
     broken = runner("  return candidates[7]\n", times)
-    for _ in range(REST_AFTER_FAILURES):
+    for _ in range(MAX_CONSECUTIVE_FAILURES):
         broken.order("x", reserve_body(), CHOICES)
     assert broken.order("x", reserve_body(), CHOICES).failure != "x: resting"
--- a/tests/systems/test_dedupe.py
+++ b/tests/systems/test_dedupe.py
@@ -8,7 +8,7 @@
 from croftchute.commands import DecideCall, SendPeer
 from croftchute.peers.messages import Finish
 from croftchute.systems.dedupe import Dedupe
-from croftchute.systems.dedupe_map import CLOCK_SKEW_S, first_rows, repaired_rows
+from croftchute.systems.dedupe_map import MAX_CLOCK_SKEW_S, first_rows, repaired_rows
 from croftchute.tables.dedupe import EMPTY_MAP, Decision, Member, Phase, RangeMap
 from croftchute.tables.rows import changed
 
@@ -175,7 +175,7 @@
 
 def test_a_key_from_the_future_is_refused():
     walk = Walk(1)
-    (decided,) = walk.boxes["a"].ask("k", "t", walk.now + CLOCK_SKEW_S + 1, walk.now)
+    (decided,) = walk.boxes["a"].ask("k", "t", walk.now + MAX_CLOCK_SKEW_S + 1, walk.now)
     assert (decided.decision, decided.code) == (Decision.REFUSE, "key_invalid")
 
 
--- a/tests/systems/test_entry.py
+++ b/tests/systems/test_entry.py
@@ -5,7 +5,7 @@
 from croftchute.errors import Code, Ran
 from croftchute.peers.messages import Declined, Granted, Released, Reserve
 from croftchute.systems.cancels import Cancels
-from croftchute.systems.entry import ASK_TIMEOUT_S, Entry
+from croftchute.systems.entry import ASK_INTERVAL_S, Entry
 from croftchute.systems.shard_choice import ShardChooser
 from croftchute.systems.sharding import build_topology
 from croftchute.tables.requests import AttemptEnd, Request
@@ -66,9 +66,9 @@
 def test_a_silent_owner_is_asked_again_and_then_another():
     entry = make_entry()
     (first,) = sent(entry.arrive(request(), 0.0), Reserve)
-    (again,) = sent(entry.tick(ASK_TIMEOUT_S * 1.1), Reserve)
+    (again,) = sent(entry.tick(ASK_INTERVAL_S * 1.1), Reserve)
     assert again.body.shard == first.body.shard
-    commands = entry.tick(ASK_TIMEOUT_S * 2.3)
+    commands = entry.tick(ASK_INTERVAL_S * 2.3)
     (released,) = sent(commands, Released)
     (other,) = sent(commands, Reserve)
     assert released.body.shard == first.body.shard != other.body.shard
@@ -156,8 +156,8 @@
 def test_a_grant_that_comes_late_is_given_back():
     entry = make_entry()
     (first,) = sent(entry.arrive(request(), 0.0), Reserve)
-    entry.tick(ASK_TIMEOUT_S * 1.1)
-    entry.tick(ASK_TIMEOUT_S * 2.3)
+    entry.tick(ASK_INTERVAL_S * 1.1)
+    entry.tick(ASK_INTERVAL_S * 2.3)
     commands = entry.granted(first.box, grant(first.body), 0.2)
     assert sent(commands, Released)
     assert not of(commands, StartAttempt)
--- a/tests/systems/test_fairness.py
+++ b/tests/systems/test_fairness.py
@@ -3,8 +3,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from croftchute.systems.admission import queue_limit
-from croftchute.systems.fairness import DECAY, MAX_CALLERS, ShareMeter
+from croftchute.systems.admission import max_queue_s
+from croftchute.systems.fairness import DECAY_PER_S, MAX_METERED_CALLERS, ShareMeter
 
 CHARGES = st.lists(
     st.tuples(st.sampled_from("abc"), st.floats(1, 1000), st.floats(0, 5)), min_size=1, max_size=30
@@ -19,7 +19,7 @@
         now += wait
         meter.charge(caller, tokens, weight=WEIGHT[caller], now=now)
         history.append((caller, tokens, now))
-    decayed = [(c, tokens * exp(-DECAY * (now - at))) for c, tokens, at in history]
+    decayed = [(c, tokens * exp(-DECAY_PER_S * (now - at))) for c, tokens, at in history]
     total = sum(tokens for _, tokens in decayed)
     weights = sum(WEIGHT[c] for c in {c for c, _ in decayed})
     for caller in "abc":
@@ -29,7 +29,7 @@
 
 def test_state_is_dropped_when_callers_are_idle():
     meter = ShareMeter()
-    for n in range(MAX_CALLERS + 10):
+    for n in range(MAX_METERED_CALLERS + 10):
         meter.charge(f"c{n}", 10.0, weight=1.0, now=n * 0.1)
     assert len(meter) < 1000
 
@@ -37,7 +37,7 @@
 def limit(**changes):
     values = {"ttft_s": 0.4, "service_s": 0.1, "priority": 9, "excess": 0.0}
     values |= {"pressure": 1.0, "waste_aversion": 0.0} | changes
-    return queue_limit(**values)
+    return max_queue_s(**values)
 
 
 def test_under_pressure_the_heavy_and_the_unimportant_wait_less():
--- a/tests/systems/test_prefix_index.py
+++ b/tests/systems/test_prefix_index.py
@@ -3,7 +3,7 @@
 
 from croftchute.systems.prefix_index import (
     BLOCK_TOKENS,
-    DOUBTFUL_CREDIT,
+    STALE_BLOCK_CREDIT,
     CacheEvent,
     PrefixIndex,
 )
@@ -38,7 +38,7 @@
         for block in prefix:
             if block not in self.sure_by_block:
                 break
-            tokens += BLOCK_TOKENS * (1 if self.sure_by_block[block] else DOUBTFUL_CREDIT)
+            tokens += BLOCK_TOKENS * (1 if self.sure_by_block[block] else STALE_BLOCK_CREDIT)
         return tokens
 
 
