--- a/src/croftchute/bench/fleet_router.py
+++ b/src/croftchute/bench/fleet_router.py
@@ -92,13 +92,15 @@
     def arrive(self, ticket: Ticket) -> None:
         """Hand a request to its box."""
         node = self.nodes_by_id[ticket.box]
-        self._do(node, node.systems.arrive(ticket.arrival.request, self._world.loop.now))
+        self._do(node, node.systems.request_received(ticket.arrival.request, self._world.loop.now))
 
     def leave(self, ticket: Ticket) -> None:
         """Tell the ticket's box that its caller has left."""
         node = self.nodes_by_id[ticket.box]
         if node.alive:
-            self._do(node, node.systems.gone(ticket.arrival.request.id, self._world.loop.now))
+            self._do(
+                node, node.systems.caller_left(ticket.arrival.request.id, self._world.loop.now)
+            )
 
     def kill_box(self, box: str) -> None:
         """A box dies; its open requests are lost to their callers."""
@@ -158,7 +160,7 @@
     def _introduce(self) -> None:
         owns = [node.systems.own for node in self.nodes_by_id.values()]
         for node in self.nodes_by_id.values():
-            node.systems.introduce([own for own in owns if own.id != node.systems.own.id])
+            node.systems.add_boxes([own for own in owns if own.id != node.systems.own.id])
 
     def _tick(self, node: Node) -> None:
         if not node.alive or self.nodes_by_id[node.systems.own.id] is not node:
@@ -172,12 +174,12 @@
         now = self._world.loop.now
         for engine_id in node.systems.owner.engine_ids():
             if self._world.is_dead(engine_id):
-                self._do(node, node.systems.engine_failed(engine_id, now))
+                self._do(node, node.systems.engine_unreachable(engine_id, now))
             else:
                 report = self._world.exact_report(engine_id)
                 prefill = self._world.prefill_by_id.get(engine_id)
                 events = prefill.events if prefill is not None else []
-                self._do(node, node.systems.reported(engine_id, report, events, now))
+                self._do(node, node.systems.engine_reported(engine_id, report, events, now))
 
     def _do(self, node: Node, commands: list[Command]) -> None:
         bodies_by_box: dict[str, list[Body]] = {}
@@ -236,7 +238,7 @@
         if not node.alive:
             return
         known = end.request_id in node.systems.entry.open_by_id
-        self._do(node, node.systems.ended(end, self._world.loop.now))
+        self._do(node, node.systems.attempt_ended(end, self._world.loop.now))
         if known and end.ok:
             ticket = self._world.ticket_by_id[end.request_id]
             ticket.answers += 1
@@ -263,7 +265,7 @@
         now = self._world.loop.now
         report = self._world.report(engine_id)
         if self._world.is_dead(engine_id):
-            self._do(node, node.systems.engine_failed(engine_id, now))
+            self._do(node, node.systems.engine_unreachable(engine_id, now))
             return
         if report is None:
             return
@@ -273,4 +275,4 @@
             events = prefill.take_events(node.seq_by_engine.get(engine_id, 0))
             if events:
                 node.seq_by_engine[engine_id] = events[-1].seq
-        self._do(node, node.systems.reported(engine_id, report, events, now))
+        self._do(node, node.systems.engine_reported(engine_id, report, events, now))
--- a/src/croftchute/bench/slopes.py
+++ b/src/croftchute/bench/slopes.py
@@ -13,9 +13,9 @@
 from croftchute.peers.codec import TAG_BYTES, Codec, Envelope
 from croftchute.peers.messages import Body, Granted, Heartbeat, Mirror, Released, Reserve
 from croftchute.systems.box import BoxSystems
-from croftchute.systems.cancels import Cancels
+from croftchute.systems.cancels import CancelTracker
 from croftchute.systems.fairness import ShareMeter
-from croftchute.systems.owner import Owner
+from croftchute.systems.owner import ShardOwner
 from croftchute.systems.prefix_index import CacheEvent, PrefixIndex
 from croftchute.systems.sharding import build_topology
 from croftchute.tables.boxes import Box, BoxState
@@ -128,7 +128,7 @@
     prefill = max(1, engines // 4)
     document = shaped(prefill, engines - prefill).document(shard_engines=shard_engines)
     topology = build_topology(document, revision=1, hall="hall-1")
-    owner = Owner(box="o", cancels=Cancels(), topology=topology)
+    owner = ShardOwner(box="o", cancels=CancelTracker(), topology=topology)
     shard = topology.shards_by_id["pool/0"]
     owner.set_shards(topology, [shard], 0.0)
     clock = [0.0]
@@ -152,8 +152,8 @@
     systems.owners_by_shard = dict.fromkeys(systems.owners_by_shard, "elsewhere")
 
     def once() -> None:
-        systems.arrive(_request(NAME), 1.0)
-        systems.gone(NAME, 1.0)
+        systems.request_received(_request(NAME), 1.0)
+        systems.caller_left(NAME, 1.0)
 
     return microseconds(once, count)
 
@@ -189,7 +189,7 @@
     )
     systems.apply_config(document, 1, 0.0)
     for n in range(400):
-        commands = systems.arrive(_request(f"{n:032d}"), 0.0)
+        commands = systems.request_received(_request(f"{n:032d}"), 0.0)
         assert commands is not None
     for command in list(systems.tick(0.01)):
         assert not isinstance(command, SendPeer) or command.body is not None
@@ -240,7 +240,7 @@
 def _reservations(count: int) -> object:
     document = HALL_AT_TARGET.document(shard_engines=100_000)
     topology = build_topology(document, revision=1, hall="hall-1")
-    owner = Owner(box="o", cancels=Cancels(), topology=topology)
+    owner = ShardOwner(box="o", cancels=CancelTracker(), topology=topology)
     owner.set_shards(topology, topology.shards_by_id.values(), 0.0)
     for n in range(count):
         owner.reserve("e", reserve_body(f"{n:032d}"), n * 1.0)
--- a/src/croftchute/daemon/admin.py
+++ b/src/croftchute/daemon/admin.py
@@ -123,7 +123,7 @@
         "state": systems.own.state.value,
         "revision": systems.topology.revision,
         "ranges_version": systems.dedupe.map.version,
-        "ranges_ready": sum(systems.dedupe.is_ready(i) for i in systems.dedupe.ranges_held),
+        "ranges_ready": sum(systems.dedupe.is_ready(i) for i in systems.dedupe.own_ranges),
         "open_requests": len(box.board),
         "pending_cancels": len(systems.cancels.pending_by_target),
         "boxes": [
--- a/src/croftchute/daemon/box_process.py
+++ b/src/croftchute/daemon/box_process.py
@@ -210,7 +210,7 @@
             )
             for peer in self.settings.peers
         ]
-        self.systems.introduce(peers)
+        self.systems.add_boxes(peers)
 
     def admits(self) -> bool:
         """Whether a call that was read may begin: until the grace of a drain is over."""
@@ -265,15 +265,15 @@
                 request_id=request.id, code=Code.DRAINING, ran=Ran.NOT_RUN, retry_after_s=1.0
             )
             return [refusal]
-        return self.systems.arrive(request, now)
+        return self.systems.request_received(request, now)
 
     def ended(self, end: AttemptEnd, now: float) -> list[Command]:
         """End an attempt."""
-        return self.systems.ended(end, now)
+        return self.systems.attempt_ended(end, now)
 
     def left(self, request_id: str, now: float) -> list[Command]:
         """A caller left."""
-        return self.systems.gone(request_id, now)
+        return self.systems.caller_left(request_id, now)
 
     def note(self, event: Event) -> None:
         """Put an event on the time line."""
@@ -300,7 +300,7 @@
         return self.http.open_requests > 0 or self._is_member()
 
     def _is_member(self) -> bool:
-        return bool(self.systems.dedupe.ranges_held) and len(self.systems.membership.live_ids()) > 1
+        return bool(self.systems.dedupe.own_ranges) and len(self.systems.membership.live_ids()) > 1
 
     def _start_draining(self, now: float) -> list[Command]:
         event = Emit(event=Event(kind=Kind.DRAIN_STARTED))
--- a/src/croftchute/daemon/engine_io.py
+++ b/src/croftchute/daemon/engine_io.py
@@ -63,7 +63,7 @@
         except UpstreamError as error:
             # An engine that is slow to report may still serve; one that refuses is gone.
             if error.ran is Ran.NOT_RUN:
-                self._submit(lambda now: self._systems.engine_failed(engine_id, now))
+                self._submit(lambda now: self._systems.engine_unreachable(engine_id, now))
             return
         except (ValueError, KeyError, TypeError) as error:
             logger.bind(upstream=engine_id, detail=str(error)).warning("report_unreadable")
@@ -72,7 +72,7 @@
             self._polling.discard(engine_id)
         if events:
             self._seq_by_engine[engine_id] = events[-1].seq
-        self._submit(lambda now: self._systems.reported(engine_id, report, events, now))
+        self._submit(lambda now: self._systems.engine_reported(engine_id, report, events, now))
 
     def _cancel(self, command: CancelAttempt) -> None:
         url = self._url_of(command.engine_id)
--- a/src/croftchute/daemon/knowledge_feed.py
+++ b/src/croftchute/daemon/knowledge_feed.py
@@ -119,7 +119,7 @@
             if ranges.version <= self._box.shared.ranges.version:
                 return []
             self._box.shared = replace(self._box.shared, ranges=ranges)
-            return self._box.systems.learn_ranges(ranges, now)
+            return self._box.systems.apply_range_map(ranges, now)
 
         self._box.submit(apply)
 
@@ -138,8 +138,8 @@
         names = frozenset(row.id for row in listed)
 
         def apply(_: float) -> list[Command]:
-            self._box.systems.introduce(boxes)
-            self._box.systems.dedupe.listed(names)
+            self._box.systems.add_boxes(boxes)
+            self._box.systems.dedupe.boxes_listed(names)
             return []
 
         self._box.submit(apply)
--- a/src/croftchute/policies/runner.py
+++ b/src/croftchute/policies/runner.py
@@ -8,7 +8,7 @@
 from croftchute.errors import PolicyError
 from croftchute.peers.messages import Reserve
 from croftchute.policies.starlark_policy import CompiledPolicy, compile_policy
-from croftchute.systems.owner import Ordered
+from croftchute.systems.owner import PolicyOrder
 from croftchute.systems.placement import Placement
 
 MAX_RUN_S = 0.002
@@ -36,12 +36,12 @@
         self.failures_by_policy.clear()
         self._rests_until.clear()
 
-    def order(self, policy: str, ask: Reserve, placements: Sequence[Placement]) -> Ordered:
+    def order(self, policy: str, ask: Reserve, placements: Sequence[Placement]) -> PolicyOrder:
         """The placements as the policy orders them."""
         compiled = self._compiled_by_name.get(policy)
         started = self.clock()
         if compiled is None or started < self._rests_until.get(policy, 0.0):
-            return Ordered(placements=placements, failure=f"{policy}: resting")
+            return PolicyOrder(placements=placements, failure=f"{policy}: resting")
         by_id = {_candidate_id(placement): placement for placement in placements}
         try:
             ids = compiled.order(_request(ask), [_candidate(p, placements) for p in placements])
@@ -50,15 +50,15 @@
         if self.clock() - started > MAX_RUN_S:
             return self._failed(policy, placements, f"{policy}: overran {MAX_RUN_S} s")
         self.failures_by_policy[policy] = 0
-        return Ordered(placements=[by_id[id] for id in ids])
+        return PolicyOrder(placements=[by_id[id] for id in ids])
 
-    def _failed(self, policy: str, placements: Sequence[Placement], failure: str) -> Ordered:
+    def _failed(self, policy: str, placements: Sequence[Placement], failure: str) -> PolicyOrder:
         count = self.failures_by_policy.get(policy, 0) + 1
         self.failures_by_policy[policy] = count
         if count >= MAX_CONSECUTIVE_FAILURES:
             self._rests_until[policy] = self.clock() + SUSPENSION_S
             self.failures_by_policy[policy] = 0
-        return Ordered(placements=placements, failure=failure)
+        return PolicyOrder(placements=placements, failure=failure)
 
 
 def _candidate_id(placement: Placement) -> str:
--- a/src/croftchute/systems/box.py
+++ b/src/croftchute/systems/box.py
@@ -31,18 +31,18 @@
     Reserve,
     Verdict,
 )
-from croftchute.systems.cancels import Cancels
-from croftchute.systems.dedupe import Dedupe
-from croftchute.systems.dedupe_map import first_rows, repaired_rows
-from croftchute.systems.entry import Entry
+from croftchute.systems.cancels import CancelTracker
+from croftchute.systems.dedupe import Deduplicator
+from croftchute.systems.dedupe_map import initial_rows, repaired_rows
+from croftchute.systems.entry import RequestEntry
 from croftchute.systems.membership import Membership
-from croftchute.systems.owner import Orderer, Owner
+from croftchute.systems.owner import PolicyOrderer, ShardOwner
 from croftchute.systems.prefix_index import CacheEvent
 from croftchute.systems.rendezvous import rank
 from croftchute.systems.shard_choice import ShardChooser
 from croftchute.systems.sharding import assign, build_topology
 from croftchute.tables.boxes import Box, BoxState
-from croftchute.tables.dedupe import Member, RangeMap
+from croftchute.tables.dedupe import BoxIncarnation, RangeMap
 from croftchute.tables.requests import AttemptEnd, Request
 from croftchute.tables.upstreams import EngineReport, Topology
 from croftchute.timeline.events import Event, Kind
@@ -66,7 +66,7 @@
         suspect_after_s: float,
         poll_s: float,
         seed: int,
-        order: Orderer | None = None,
+        order: PolicyOrderer | None = None,
     ) -> None:
         self.own = own
         self.heartbeat_s = heartbeat_s
@@ -75,10 +75,10 @@
         rng = random.Random(seed)
         self.topology = Topology(revision=0, hall=own.hall)
         self.membership = Membership(own=own, suspect_after_s=suspect_after_s)
-        self.cancels = Cancels()
-        self.chooser = ShardChooser(rng=rng, reachable=self._shard_reachable)
-        self.owner = Owner(box=own.id, cancels=self.cancels, topology=self.topology)
-        self.entry = Entry(
+        self.cancels = CancelTracker()
+        self.chooser = ShardChooser(rng=rng, is_reachable=self._shard_reachable)
+        self.owner = ShardOwner(box=own.id, cancels=self.cancels, topology=self.topology)
+        self.entry = RequestEntry(
             box=own.id,
             topology=self.topology,
             cancels=self.cancels,
@@ -86,13 +86,13 @@
             owner_of=self.owner_of,
             rng=rng,
         )
-        self.dedupe = Dedupe(box=own.id, incarnation=own.incarnation)
+        self.dedupe = Deduplicator(box=own.id, incarnation=own.incarnation)
         self.owners_by_shard: dict[str, str] = {}
-        self._members: tuple[str, ...] = ()
-        self._next_beat_at = 0.0
+        self._owner_ids: tuple[str, ...] = ()
+        self._next_heartbeat_at = 0.0
         self._next_poll_by_engine: dict[str, float] = {}
         self._announcements: list[tuple[float, str]] = []
-        self._beats = 0
+        self._heartbeats_sent = 0
         self._next_fetch_at = 0.0
         self._next_repair_at = 0.0
 
@@ -119,51 +119,53 @@
                 commands.append(Emit(event=leaving))
         return commands + self._reassign(now)
 
-    def introduce(self, boxes: Iterable[Box]) -> None:
+    def add_boxes(self, boxes: Iterable[Box]) -> None:
         """Make peers known from settings or the platform's list."""
-        self.membership.introduce(boxes)
+        self.membership.add_boxes(boxes)
 
     def start_leaving(self, now: float) -> list[Command]:
         """Give all shards away; open requests run on."""
         self.own = replace(self.own, state=BoxState.LEAVING)
         self.membership.own = self.own
-        self._next_beat_at = 0.0
+        self._next_heartbeat_at = 0.0
         return self._reassign(now) + self.tick(now)
 
-    def arrive(self, request: Request, now: float) -> list[Command]:
+    def request_received(self, request: Request, now: float) -> list[Command]:
         """A caller's request came in."""
-        return self._deliver(self.entry.arrive(request, now), now)
+        return self._deliver(self.entry.request_received(request, now), now)
 
-    def ended(self, end: AttemptEnd, now: float) -> list[Command]:
+    def attempt_ended(self, end: AttemptEnd, now: float) -> list[Command]:
         """An attempt of a request ended."""
-        commands = self.entry.ended(end, now) + self._crash_news(now)
+        commands = self.entry.attempt_ended(end, now) + self._send_crash_news(now)
         return self._deliver(commands, now)
 
-    def gone(self, request_id: str, now: float) -> list[Command]:
+    def caller_left(self, request_id: str, now: float) -> list[Command]:
         """A caller left."""
-        return self._deliver(self.entry.gone(request_id, now), now)
+        return self._deliver(self.entry.caller_left(request_id, now), now)
 
-    def reported(
+    def engine_reported(
         self, engine_id: str, report: EngineReport, events: Iterable[CacheEvent], now: float
     ) -> list[Command]:
         """An engine answered a poll."""
-        return self.owner.report(engine_id, report, events, now)
+        return self.owner.engine_reported(engine_id, report, events, now)
 
-    def engine_failed(self, engine_id: str, now: float) -> list[Command]:
+    def engine_unreachable(self, engine_id: str, now: float) -> list[Command]:
         """An engine could not be reached for a poll."""
-        return self.owner.failed(engine_id, now)
+        return self.owner.engine_unreachable(engine_id, now)
 
     def cancel_confirmed(self, engine_id: str, key: str) -> list[Command]:
-        """An engine holds nothing for an attempt any more."""
+        """An engine holds_records nothing for an attempt any more."""
         return self.cancels.confirm(engine_id, key)
 
-    def begin_call(self, key: str, token: str, minted: float | None, now: float) -> list[Command]:
-        """A non-repeatable call wants to run; ``minted`` is None for a key made for it here."""
-        return self._deliver(self.dedupe.ask(key, token, minted, now), now)
+    def begin_call(
+        self, key: str, token: str, key_created_at: float | None, now: float
+    ) -> list[Command]:
+        """Ask to run a non-repeatable call; ``key_created_at`` is None if this box made its key."""
+        return self._deliver(self.dedupe.begin_call(key, token, key_created_at, now), now)
 
     def finish_call(self, finish: Finish, now: float) -> list[Command]:
         """A non-repeatable call that was let run has an outcome."""
-        return self._deliver(self.dedupe.tell(finish, now), now)
+        return self._deliver(self.dedupe.finish_call(finish, now), now)
 
     def receive(self, sender: str, body: Body, now: float) -> list[Command]:
         """A message from a peer, or from this box to itself."""
@@ -171,39 +173,39 @@
 
     def tick(self, now: float) -> list[Command]:
         """Run what is due by time alone."""
-        commands = self._suspect(now)
-        commands += self._members_changed(now)
-        commands += self._beat(now)
-        commands += self._polls(now)
+        commands = self._suspect_silent_boxes(now)
+        commands += self._reassign_if_changed(now)
+        commands += self._send_heartbeats(now)
+        commands += self._poll_due_engines(now)
         commands += self.cancels.tick(now)
         commands += self.owner.tick(now)
         commands += self.entry.tick(now)
         commands += self.dedupe.tick(now)
         commands += self._repair_ranges(now)
-        commands += self._announce_due(now)
+        commands += self._send_due_announcements(now)
         return self._deliver(commands, now)
 
     def _dispatch(self, sender: str, body: Body, now: float) -> list[Command]:
         match body:
             case Heartbeat():
-                return self._heard(sender, body, now)
+                return self._heartbeat_received(sender, body, now)
             case Reserve():
                 return self.owner.reserve(sender, body, now, self.order)
             case Granted():
-                return self.entry.granted(sender, body, now)
+                return self.entry.reservation_granted(sender, body, now)
             case Declined():
-                return self.entry.declined(body, now)
+                return self.entry.reservation_declined(body, now)
             case Released():
                 return self.owner.release(sender, body, now)
             case Announced():
-                return self.owner.announced(sender, body, now)
+                return self.owner.adopt_reservation(sender, body, now)
             case Audit():
-                return self.entry.audit(sender, body)
+                return self.entry.answer_audit(sender, body)
             case Audited():
-                return self.owner.audited(body, now)
+                return self.owner.audit_answered(body, now)
             case CrashNews():
                 self.entry.crashes.hear(body, now)
-                return self._crash_news(now)
+                return self._send_crash_news(now)
             case BoxNotice() | AllowanceAsk() | AllowanceReply():
                 return []  # meant for forwarding boxes, which keep a table of their own
             case Begin() | Mirror() | Mirrored() | Verdict() | Finish():
@@ -219,18 +221,18 @@
                 out.append(command)
         return out
 
-    def _heard(self, sender: str, beat: Heartbeat, now: float) -> list[Command]:
-        events, restarted = self.membership.hear(sender, beat, now)
+    def _heartbeat_received(self, sender: str, beat: Heartbeat, now: float) -> list[Command]:
+        events, restarted = self.membership.heartbeat_received(sender, beat, now)
         commands: list[Command] = [Emit(event=event) for event in events]
         if restarted:
-            commands += self.owner.entry_gone(sender, now)
-            commands += self.dedupe.restarted(sender, beat.incarnation)
+            commands += self.owner.entry_box_gone(sender, now)
+            commands += self.dedupe.box_restarted(sender, beat.incarnation)
         known = self.membership.boxes_by_id.get(sender)
         if known is not None and known.hall == self.own.hall:
             for digest in beat.digests:
-                self.chooser.learn(replace(digest, at=now))
+                self.chooser.update_digest(replace(digest, at=now))
         if events:
-            commands += self._members_changed(now)
+            commands += self._reassign_if_changed(now)
         newer_config = beat.revision > self.topology.revision
         newer_map = beat.map_version > self.dedupe.map.version
         if (newer_config or newer_map) and now >= self._next_fetch_at:
@@ -238,49 +240,49 @@
             commands.append(FetchShared(box=sender))
         return commands
 
-    def _suspect(self, now: float) -> list[Command]:
+    def _suspect_silent_boxes(self, now: float) -> list[Command]:
         """Free what silent boxes held. One that was never heard has not fallen silent."""
         commands: list[Command] = []
-        for box in self.membership.expire(now):
+        for box in self.membership.suspect_silent(now):
             commands.append(Emit(event=Event(kind=Kind.BOX_SUSPECT, detail=box)))
-            commands += self.owner.entry_gone(box, now)
+            commands += self.owner.entry_box_gone(box, now)
         return commands
 
-    def _members_changed(self, now: float) -> list[Command]:
+    def _reassign_if_changed(self, now: float) -> list[Command]:
         members = tuple(self.membership.owner_ids())
-        if members == self._members:
+        if members == self._owner_ids:
             return []
         return self._reassign(now)
 
     def _reassign(self, now: float) -> list[Command]:
-        self._members = tuple(self.membership.owner_ids())
+        self._owner_ids = tuple(self.membership.owner_ids())
         shards = self.topology.shards_by_id
         before = self.owners_by_shard
-        self.owners_by_shard = assign(sorted(shards), self._members)
+        self.owners_by_shard = assign(sorted(shards), self._owner_ids)
         own = [shard for shard in shards.values() if self.owner_of(shard.id) == self.own.id]
         commands = self.owner.set_shards(self.topology, own, now)
         for shard_id, owner in self.owners_by_shard.items():
             if before.get(shard_id) not in (None, owner):
                 self._announcements += [(now + after, shard_id) for after in ANNOUNCE_DELAYS_S]
-        return commands + self._announce_due(now)
+        return commands + self._send_due_announcements(now)
 
-    def _announce_due(self, now: float) -> list[Command]:
+    def _send_due_announcements(self, now: float) -> list[Command]:
         due = [shard for at, shard in self._announcements if at <= now]
         if not due:
             return []
         self._announcements = [entry for entry in self._announcements if entry[0] > now]
         commands: list[Command] = []
         for shard in dict.fromkeys(due):
-            commands += self.entry.announce(shard, self.owner_of(shard), now)
+            commands += self.entry.announce_attempts(shard, self.owner_of(shard), now)
         return commands
 
-    def _beat(self, now: float) -> list[Command]:
-        if now < self._next_beat_at:
+    def _send_heartbeats(self, now: float) -> list[Command]:
+        if now < self._next_heartbeat_at:
             return []
-        self._next_beat_at = now + self.heartbeat_s
+        self._next_heartbeat_at = now + self.heartbeat_s
         digests = self.owner.digests(now)
         for digest in digests:
-            self.chooser.learn(digest)
+            self.chooser.update_digest(digest)
         body = Heartbeat(
             incarnation=self.own.incarnation,
             revision=self.topology.revision,
@@ -288,8 +290,11 @@
             leaving=self.own.state is BoxState.LEAVING,
             digests=digests,
         )
-        self._beats += 1
-        if self._beats <= FIRST_FULL_HEARTBEATS or self._beats % FULL_HEARTBEAT_EVERY == 0:
+        self._heartbeats_sent += 1
+        if (
+            self._heartbeats_sent <= FIRST_FULL_HEARTBEATS
+            or self._heartbeats_sent % FULL_HEARTBEAT_EVERY == 0
+        ):
             body = replace(
                 body,
                 hall=self.own.hall,
@@ -298,21 +303,25 @@
                 admin_port=self.own.admin_port,
             )
         bodies: list[Body] = [body, *self.entry.crashes.with_beat(now)]
-        return [SendPeer(box=box, body=part) for box in self._listeners() for part in bodies]
+        return [
+            SendPeer(box=box, body=part) for box in self._heartbeat_receivers() for part in bodies
+        ]
 
-    def _crash_news(self, now: float) -> list[Command]:
+    def _send_crash_news(self, now: float) -> list[Command]:
         """Tell the boxes that hear this one under which requests engines have ended."""
         news = self.entry.crashes.take_news(now)
-        return [SendPeer(box=box, body=part) for part in news for box in self._listeners()]
+        return [
+            SendPeer(box=box, body=part) for part in news for box in self._heartbeat_receivers()
+        ]
 
     @property
     def is_relay(self) -> bool:
         """Whether this box is one of the few of its hall that talk to the platform."""
         return self.own.id in rank("relay", self.membership.live_ids())[:RELAYS_PER_HALL]
 
-    def _listeners(self) -> list[str]:
+    def _heartbeat_receivers(self) -> list[str]:
         """Who hears this box: its hall; from a relay, also a few boxes of every other hall."""
-        ids = [box.id for box in self.membership.peers()]
+        ids = [box.id for box in self.membership.hall_peers()]
         if not self.is_relay:
             return ids
         boxes = self.membership.boxes_by_id.values()
@@ -322,9 +331,9 @@
             ids += rank("relay", live or there)[:RELAYS_PER_HALL]
         return ids
 
-    def learn_ranges(self, known: RangeMap, now: float) -> list[Command]:
+    def apply_range_map(self, known: RangeMap, now: float) -> list[Command]:
         """A range map came from the store or a peer."""
-        return self._deliver(self.dedupe.learn(known, now), now)
+        return self._deliver(self.dedupe.apply_map(known, now), now)
 
     def _repair_ranges(self, now: float) -> list[Command]:
         if now < self._next_repair_at:
@@ -332,22 +341,22 @@
         self._next_repair_at = now + REPAIR_INTERVAL_S
         known = self.dedupe.map
         if not known.rows:
-            rows = first_rows(self._members_by_hall()) if self.is_relay else ()
+            rows = initial_rows(self._members_by_hall()) if self.is_relay else ()
         else:
             rows = repaired_rows(
                 known,
                 own=self.dedupe.own,
-                holds=self.dedupe.holds,
-                is_live=self._serves,
+                holds_records=self.dedupe.holds_records,
+                is_live=self._is_live_incarnation,
                 has_ended=self.dedupe.has_ended,
-                spares=self._spares(),
+                replacements=self._replacement_members(),
                 now=now,
             )
         if rows == known.rows:
             return []
         return [ProposeRanges(version=known.version, rows=rows)]
 
-    def _serves(self, member: Member) -> bool:
+    def _is_live_incarnation(self, member: BoxIncarnation) -> bool:
         if member == self.dedupe.own:
             return self.own.state is BoxState.LIVE
         box = self.membership.boxes_by_id.get(member.box)
@@ -355,20 +364,20 @@
             box is not None and box.incarnation == member.incarnation and box.state is BoxState.LIVE
         )
 
-    def _spares(self) -> list[Member]:
+    def _replacement_members(self) -> list[BoxIncarnation]:
         members = self._members_by_hall()
         near = members.get(self.own.hall, [])
         return near if len(near) > 1 else [m for group in members.values() for m in group]
 
-    def _members_by_hall(self) -> dict[str, list[Member]]:
-        members: dict[str, list[Member]] = {}
+    def _members_by_hall(self) -> dict[str, list[BoxIncarnation]]:
+        members: dict[str, list[BoxIncarnation]] = {}
         for box in [self.own, *self.membership.boxes_by_id.values()]:
             if box.state is BoxState.LIVE and box.incarnation:
-                member = Member(box=box.id, incarnation=box.incarnation)
+                member = BoxIncarnation(box=box.id, incarnation=box.incarnation)
                 members.setdefault(box.hall, []).append(member)
         return members
 
-    def _polls(self, now: float) -> list[Command]:
+    def _poll_due_engines(self, now: float) -> list[Command]:
         commands: list[Command] = []
         for engine_id in self.owner.engine_ids():
             if now >= self._next_poll_by_engine.get(engine_id, 0.0):
--- a/src/croftchute/systems/cancels.py
+++ b/src/croftchute/systems/cancels.py
@@ -18,24 +18,24 @@
 
     engine_id: str
     key: str
-    since: float
-    next_at: float
-    tries: int = 0
+    started_at: float
+    next_send_at: float
+    sends: int = 0
 
 
-class Cancels:
+class CancelTracker:
     """Cancels under way, by engine and attempt."""
 
     def __init__(self) -> None:
         self.pending_by_target: dict[tuple[str, str], PendingCancel] = {}
 
-    def add(self, engine_id: str, key: str, now: float) -> list[Command]:
+    def start(self, engine_id: str, key: str, now: float) -> list[Command]:
         """Begin to cancel an attempt at an engine; a cancel under way is left alone."""
         target = (engine_id, key)
         if not engine_id or target in self.pending_by_target:
             return []
         self.pending_by_target[target] = PendingCancel(
-            engine_id=engine_id, key=key, since=now, next_at=now
+            engine_id=engine_id, key=key, started_at=now, next_send_at=now
         )
         return self.tick(now)
 
@@ -50,14 +50,14 @@
         """Send the cancels that are due."""
         commands: list[Command] = []
         for target, cancel in list(self.pending_by_target.items()):
-            if now - cancel.since > CANCEL_TIMEOUT_S:
+            if now - cancel.started_at > CANCEL_TIMEOUT_S:
                 del self.pending_by_target[target]
                 continue
-            if now < cancel.next_at:
+            if now < cancel.next_send_at:
                 continue
-            wait = min(MAX_RETRY_DELAY_S, FIRST_RETRY_DELAY_S * (2**cancel.tries))
+            wait = min(MAX_RETRY_DELAY_S, FIRST_RETRY_DELAY_S * (2**cancel.sends))
             self.pending_by_target[target] = replace(
-                cancel, next_at=now + wait, tries=cancel.tries + 1
+                cancel, next_send_at=now + wait, sends=cancel.sends + 1
             )
             commands.append(CancelAttempt(engine_id=cancel.engine_id, key=cancel.key))
         return commands
--- a/src/croftchute/systems/dedupe.py
+++ b/src/croftchute/systems/dedupe.py
@@ -15,8 +15,8 @@
 from croftchute.systems.dedupe_map import MAX_CLOCK_SKEW_S
 from croftchute.tables.dedupe import (
     EMPTY_MAP,
+    BoxIncarnation,
     Decision,
-    Member,
     Phase,
     RangeMap,
     RangeRow,
@@ -36,52 +36,52 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Waiting:
+class PendingMessage:
     """A message of an entry box that the first box of a range has not answered."""
 
     key: str
     body: Begin | Finish
-    since: float
-    sent_at: float
+    first_sent_at: float
+    last_sent_at: float
 
 
-class Dedupe:
+class Deduplicator:
     """This box's part in at-most-once execution: as entry box, as first and as second."""
 
     def __init__(self, *, box: str, incarnation: int) -> None:
-        self.own = Member(box=box, incarnation=incarnation)
+        self.own = BoxIncarnation(box=box, incarnation=incarnation)
         self.map = EMPTY_MAP
         self.records_by_key: dict[str, Record] = {}
         self.held_epoch_by_range: dict[int, int] = {}
         self.ready_epoch_by_range: dict[int, int] = {}
         self._rows_by_index: dict[int, RangeRow] = {}
-        self._waiting_by_token: dict[str, Waiting] = {}
-        self._asker_by_message: dict[tuple[str, str], str] = {}
+        self._pending_by_token: dict[str, PendingMessage] = {}
+        self._sender_by_message: dict[tuple[str, str], str] = {}
         self._unsynced_by_range: dict[int, set[str]] = {}
         self._next_sync_at = 0.0
         self._next_sweep_at = 0.0
-        self._ended: set[Member] = set()
+        self._ended_incarnations: set[BoxIncarnation] = set()
         self._listed: frozenset[str] = frozenset()
 
     def __repr__(self) -> str:
         held = len(self.records_by_key)
-        return f"Dedupe(box={self.own.box!r}, map={self.map.version}, records={held})"
+        return f"Deduplicator(box={self.own.box!r}, map={self.map.version}, records={held})"
 
-    def restarted(self, box: str, incarnation: int) -> list[Command]:
+    def box_restarted(self, box: str, incarnation: int) -> list[Command]:
         """A box came back under a new incarnation: its earlier one has ended."""
         for row in self.map.rows:
             for member in (row.first, row.second):
                 if member.box == box and member.incarnation < incarnation:
-                    self._ended.add(member)
+                    self._ended_incarnations.add(member)
         return []
 
-    def has_ended(self, member: Member) -> bool:
+    def has_ended(self, member: BoxIncarnation) -> bool:
         """Whether it is certain that a member's process is no more."""
         if member.box == self.own.box:
             return member.incarnation < self.own.incarnation
-        return member in self._ended
+        return member in self._ended_incarnations
 
-    def holds(self, index: int) -> bool:
+    def holds_records(self, index: int) -> bool:
         """Whether this box holds all records of a range under the epoch in force."""
         row = self._rows_by_index.get(index)
         return row is not None and self.held_epoch_by_range.get(index) == row.epoch
@@ -92,19 +92,19 @@
         return row is not None and self.ready_epoch_by_range.get(index) == row.epoch
 
     @property
-    def ranges_held(self) -> list[int]:
+    def own_ranges(self) -> list[int]:
         """Ranges in whose pair this box is, by the map in force."""
         return [row.index for row in self.map.rows if self.own in (row.first, row.second)]
 
-    def listed(self, boxes: frozenset[str]) -> None:
+    def boxes_listed(self, boxes: frozenset[str]) -> None:
         """The platform's list of boxes: one that was on it and no longer is has ended."""
         for row in self.map.rows:
             for member in (row.first, row.second):
                 if member.box in self._listed and member.box not in boxes:
-                    self._ended.add(member)
+                    self._ended_incarnations.add(member)
         self._listed = boxes
 
-    def learn(self, known: RangeMap, now: float) -> list[Command]:
+    def apply_map(self, known: RangeMap, now: float) -> list[Command]:
         """Put a newer map in force; ranges gained are synchronised before they are used."""
         if known.version <= self.map.version:
             return []
@@ -114,35 +114,39 @@
         for row in known.rows:
             earlier = before.get(row.index)
             if earlier is None or earlier.epoch != row.epoch:
-                self._new_epoch(row, earlier)
+                self._start_epoch(row, earlier)
         self._next_sync_at = now
-        detail = f"version {known.version}, in {len(self.ranges_held)} pairs"
+        detail = f"version {known.version}, in {len(self.own_ranges)} pairs"
         event = Event(kind=Kind.DEDUPE_EPOCH, detail=detail)
         return [Emit(event=event), *self.tick(now)]
 
-    def ask(self, key: str, token: str, minted: float | None, now: float) -> list[Command]:
+    def begin_call(
+        self, key: str, token: str, key_created_at: float | None, now: float
+    ) -> list[Command]:
         """Entry side: may this call run? The answer comes as a :class:`DecideCall`.
 
-        ``minted`` is when the caller made the key, None if this box made it for this call: such
-        a key cannot have run before.
+        ``key_created_at`` is when the caller made the key, None if this box made it for this
+        call: such a key cannot have run before.
         """
         row = self._rows_by_index.get(range_of(key))
-        if minted is not None and minted > now + MAX_CLOCK_SKEW_S:
+        if key_created_at is not None and key_created_at > now + MAX_CLOCK_SKEW_S:
             return [_decide(token, Decision.REFUSE, Code.KEY_INVALID)]
         if row is None:
             return [_decide(token, Decision.REFUSE, Code.DEDUPE_UNAVAILABLE)]
-        if minted is not None and minted < max(row.floor, now - RECORD_TTL_S + MAX_CLOCK_SKEW_S):
-            return self._ask_first(row, key, token, now, old=True)
-        return self._ask_first(row, key, token, now, old=False)
+        if key_created_at is not None and key_created_at < max(
+            row.floor, now - RECORD_TTL_S + MAX_CLOCK_SKEW_S
+        ):
+            return self._send_begin(row, key, token, now, old=True)
+        return self._send_begin(row, key, token, now, old=False)
 
-    def tell(self, finish: Finish, now: float) -> list[Command]:
+    def finish_call(self, finish: Finish, now: float) -> list[Command]:
         """Entry side: what came of a call; repeated until the first box has it."""
         row = self._rows_by_index.get(range_of(finish.key))
         if row is None:
             return []
         body = replace(finish, epoch=row.epoch)
-        waiting = Waiting(key=finish.key, body=body, since=now, sent_at=now)
-        self._waiting_by_token[f"{finish.token}/{finish.phase}"] = waiting
+        pending = PendingMessage(key=finish.key, body=body, first_sent_at=now, last_sent_at=now)
+        self._pending_by_token[f"{finish.token}/{finish.phase}"] = pending
         return [SendPeer(box=row.first.box, body=body)]
 
     def receive(self, sender: str, body: Body, now: float) -> list[Command]:
@@ -162,21 +166,23 @@
 
     def tick(self, now: float) -> list[Command]:
         """Repeat what was not answered, synchronise new seconds, drop old records."""
-        commands = self._repeat(now)
+        commands = self._resend_unanswered(now)
         if now >= self._next_sync_at:
             self._next_sync_at = now + SYNC_INTERVAL_S
-            commands += self._synchronise(now)
+            commands += self._send_unsynced(now)
         if now >= self._next_sweep_at:
             self._next_sweep_at = now + SWEEP_INTERVAL_S
-            self._sweep(now)
+            self._drop_expired(now)
         return commands
 
-    def _ask_first(
+    def _send_begin(
         self, row: RangeRow, key: str, token: str, now: float, *, old: bool
     ) -> list[Command]:
         # An old key may only be looked up: an empty token asks for that.
         body = Begin(key=key, token=token, epoch=-row.epoch if old else row.epoch)
-        self._waiting_by_token[token] = Waiting(key=key, body=body, since=now, sent_at=now)
+        self._pending_by_token[token] = PendingMessage(
+            key=key, body=body, first_sent_at=now, last_sent_at=now
+        )
         return [SendPeer(box=row.first.box, body=body)]
 
     def _begin(self, sender: str, body: Begin, now: float) -> list[Command]:
@@ -187,14 +193,14 @@
             return []
         record = self.records_by_key.get(body.key)
         if record is not None:
-            return [SendPeer(box=sender, body=self._repeat_verdict(record, body, now))]
+            return [SendPeer(box=sender, body=self._verdict_from_record(record, body, now))]
         if body.epoch < 0:
             return [SendPeer(box=sender, body=_refusal(body, Code.OUTCOME_UNKNOWN))]
-        self._asker_by_message[body.token, Phase.GRANTED] = sender
+        self._sender_by_message[body.token, Phase.GRANTED] = sender
         mirror = Mirror(key=body.key, token=body.token, epoch=row.epoch, phase=Phase.GRANTED)
         return [SendPeer(box=row.second.box, body=mirror)]
 
-    def _repeat_verdict(self, record: Record, body: Begin, now: float) -> Verdict:
+    def _verdict_from_record(self, record: Record, body: Begin, now: float) -> Verdict:
         if record.token == body.token and record.phase is Phase.GRANTED:
             return Verdict(key=body.key, token=body.token, decision=Decision.RUN)
         if record.phase is Phase.DONE:
@@ -217,13 +223,13 @@
         if accepted and body.phase == Phase.SYNCED:
             self.held_epoch_by_range[index] = body.epoch
         elif accepted:
-            accepted = self._write(body, now)
+            accepted = self._write_record(body, now)
         answer = Mirrored(
             key=body.key, token=body.token, epoch=body.epoch, phase=body.phase, accepted=accepted
         )
         return [SendPeer(box=sender, body=answer)]
 
-    def _write(self, body: Mirror | Finish, now: float) -> bool:
+    def _write_record(self, body: Mirror | Finish, now: float) -> bool:
         """Write a record; false if another try holds the key or a later phase is known."""
         held = self.records_by_key.get(body.key)
         phase = Phase(body.phase)
@@ -232,7 +238,7 @@
         if phase is Phase.ABANDONED:
             self.records_by_key.pop(body.key, None)
             return True
-        if held is not None and _order(held.phase) > _order(phase):
+        if held is not None and _phase_rank(held.phase) > _phase_rank(phase):
             return True
         self.records_by_key[body.key] = Record(
             key=body.key,
@@ -253,15 +259,15 @@
             self.ready_epoch_by_range[index] = row.epoch
             return []
         self._unsynced_by_range.get(index, set()).discard(body.key)
-        asker = self._asker_by_message.pop((body.token, body.phase), None)
-        if asker is None:
+        sender_box = self._sender_by_message.pop((body.token, body.phase), None)
+        if sender_box is None:
             return []
         if body.phase == Phase.GRANTED:
-            return self._let_run(asker, body, now)
+            return self._allow_call(sender_box, body, now)
         verdict = Verdict(key=body.key, token=body.token, decision=Decision.NOTED, code=body.phase)
-        return [SendPeer(box=asker, body=verdict)]
+        return [SendPeer(box=sender_box, body=verdict)]
 
-    def _let_run(self, asker: str, body: Mirrored, now: float) -> list[Command]:
+    def _allow_call(self, sender_box: str, body: Mirrored, now: float) -> list[Command]:
         held = self.records_by_key.get(body.key)
         if held is not None and held.token != body.token:
             return []
@@ -270,15 +276,15 @@
         )
         verdict = Verdict(key=body.key, token=body.token, decision=Decision.RUN)
         event = Event(kind=Kind.CALL_ALLOWED, request_id=body.token, detail=f"epoch {body.epoch}")
-        return [Emit(event=event), SendPeer(box=asker, body=verdict)]
+        return [Emit(event=event), SendPeer(box=sender_box, body=verdict)]
 
     def _finish(self, sender: str, body: Finish, now: float) -> list[Command]:
         row = self._rows_by_index.get(range_of(body.key))
         if row is None or row.first != self.own or row.epoch != body.epoch:
             return []
-        if not self._write(body, now):
+        if not self._write_record(body, now):
             return []
-        self._asker_by_message[body.token, body.phase] = sender
+        self._sender_by_message[body.token, body.phase] = sender
         mirror = Mirror(
             key=body.key,
             token=body.token,
@@ -291,10 +297,10 @@
 
     def _verdict(self, body: Verdict, now: float) -> list[Command]:
         if body.decision == Decision.NOTED:
-            waiting = self._waiting_by_token.pop(f"{body.token}/{body.code}", None)
+            pending = self._pending_by_token.pop(f"{body.token}/{body.code}", None)
         else:
-            waiting = self._waiting_by_token.pop(body.token, None)
-        if waiting is None:
+            pending = self._pending_by_token.pop(body.token, None)
+        if pending is None:
             return []
         return [
             DecideCall(
@@ -306,34 +312,34 @@
             )
         ]
 
-    def _repeat(self, now: float) -> list[Command]:
+    def _resend_unanswered(self, now: float) -> list[Command]:
         commands: list[Command] = []
-        for name, waiting in list(self._waiting_by_token.items()):
-            begins = isinstance(waiting.body, Begin)
-            if now - waiting.since > (VERDICT_TIMEOUT_S if begins else FINISH_TIMEOUT_S):
-                del self._waiting_by_token[name]
+        for name, pending in list(self._pending_by_token.items()):
+            begins = isinstance(pending.body, Begin)
+            if now - pending.first_sent_at > (VERDICT_TIMEOUT_S if begins else FINISH_TIMEOUT_S):
+                del self._pending_by_token[name]
                 if begins:
-                    commands += self._abandon(waiting, now)
+                    commands += self._abandon(pending, now)
                 continue
-            if now - waiting.sent_at < RESEND_INTERVAL_S:
+            if now - pending.last_sent_at < RESEND_INTERVAL_S:
                 continue
-            row = self._rows_by_index[range_of(waiting.key)]
-            sign = -1 if waiting.body.epoch < 0 else 1
-            body = replace(waiting.body, epoch=sign * row.epoch)
-            self._waiting_by_token[name] = replace(waiting, body=body, sent_at=now)
+            row = self._rows_by_index[range_of(pending.key)]
+            sign = -1 if pending.body.epoch < 0 else 1
+            body = replace(pending.body, epoch=sign * row.epoch)
+            self._pending_by_token[name] = replace(pending, body=body, last_sent_at=now)
             commands.append(SendPeer(box=row.first.box, body=body))
         return commands
 
-    def _abandon(self, waiting: Waiting, now: float) -> list[Command]:
+    def _abandon(self, pending: PendingMessage, now: float) -> list[Command]:
         """Give up on a verdict. The call will never run, so the key may be tried again."""
-        token = waiting.body.token
+        token = pending.body.token
         finish = Finish(
-            key=waiting.key, token=token, epoch=waiting.body.epoch, phase=Phase.ABANDONED
+            key=pending.key, token=token, epoch=pending.body.epoch, phase=Phase.ABANDONED
         )
         decide = _decide(token, Decision.REFUSE, Code.DEDUPE_UNAVAILABLE)
-        return [decide, *self.tell(finish, now)]
+        return [decide, *self.finish_call(finish, now)]
 
-    def _new_epoch(self, row: RangeRow, earlier: RangeRow | None) -> None:
+    def _start_epoch(self, row: RangeRow, earlier: RangeRow | None) -> None:
         """Begin a range's new epoch: keep the records only as the survivor of a pair."""
         held = earlier is not None and self.held_epoch_by_range.get(row.index) == earlier.epoch
         continues = held and earlier is not None and row.epoch == earlier.epoch + 1
@@ -351,7 +357,7 @@
             self.held_epoch_by_range[row.index] = row.epoch
             self._unsynced_by_range[row.index] = set()
 
-    def _synchronise(self, now: float) -> list[Command]:
+    def _send_unsynced(self, now: float) -> list[Command]:
         commands: list[Command] = []
         for index, keys in list(self._unsynced_by_range.items()):
             row = self._rows_by_index[index]
@@ -359,13 +365,13 @@
                 del self._unsynced_by_range[index]
                 continue
             for key in sorted(keys):
-                commands += self._copy(row, key)
+                commands += self._mirror_record(row, key)
             if not keys:
                 marker = Mirror(key=str(index), token="", epoch=row.epoch, phase=Phase.SYNCED)
                 commands.append(SendPeer(box=row.second.box, body=marker))
         return commands
 
-    def _copy(self, row: RangeRow, key: str) -> list[Command]:
+    def _mirror_record(self, row: RangeRow, key: str) -> list[Command]:
         record = self.records_by_key.get(key)
         if record is None:
             self._unsynced_by_range[row.index].discard(key)
@@ -380,13 +386,13 @@
         )
         return [SendPeer(box=row.second.box, body=mirror)]
 
-    def _sweep(self, now: float) -> None:
+    def _drop_expired(self, now: float) -> None:
         old = [key for key, row in self.records_by_key.items() if now - row.at > RECORD_TTL_S]
         for key in old:
             del self.records_by_key[key]
 
 
-def _order(phase: Phase) -> int:
+def _phase_rank(phase: Phase) -> int:
     return (Phase.GRANTED, Phase.UNKNOWN, Phase.DONE, Phase.DELIVERED).index(phase)
 
 
--- a/src/croftchute/systems/dedupe_map.py
+++ b/src/croftchute/systems/dedupe_map.py
@@ -11,14 +11,14 @@
 from dataclasses import replace
 
 from croftchute.systems.rendezvous import rank
-from croftchute.tables.dedupe import RANGES, Member, RangeMap, RangeRow
+from croftchute.tables.dedupe import RANGES, BoxIncarnation, RangeMap, RangeRow
 
 MAX_CLOCK_SKEW_S = 5.0
 
-Predicate = Callable[[Member], bool]
+IncarnationPredicate = Callable[[BoxIncarnation], bool]
 
 
-def first_rows(members_by_hall: Mapping[str, Iterable[Member]]) -> tuple[RangeRow, ...]:
+def initial_rows(members_by_hall: Mapping[str, Iterable[BoxIncarnation]]) -> tuple[RangeRow, ...]:
     """Rows for an empty store: ranges are dealt to halls, pairs to boxes; () without two boxes.
 
     No floor is needed, since nothing can have run before there was a map.
@@ -31,12 +31,14 @@
     if not pairs:
         return ()
     return tuple(
-        _row(index, epoch=1, floor=0.0, members=pairs[index % len(pairs)])
+        _assign_pair(index, epoch=1, floor=0.0, members=pairs[index % len(pairs)])
         for index in range(RANGES)
     )
 
 
-def _row(index: int, *, epoch: int, floor: float, members: list[Member]) -> RangeRow:
+def _assign_pair(
+    index: int, *, epoch: int, floor: float, members: list[BoxIncarnation]
+) -> RangeRow:
     member_by_box = {member.box: member for member in members}
     first, second = rank(f"range-{index}", member_by_box)[:2]
     return RangeRow(
@@ -52,11 +54,11 @@
 def repaired_rows(
     known: RangeMap,
     *,
-    own: Member,
-    holds: Callable[[int], bool],
-    is_live: Predicate,
-    has_ended: Predicate,
-    spares: list[Member],
+    own: BoxIncarnation,
+    holds_records: Callable[[int], bool],
+    is_live: IncarnationPredicate,
+    has_ended: IncarnationPredicate,
+    replacements: list[BoxIncarnation],
     now: float,
 ) -> tuple[RangeRow, ...]:
     """All rows with the changes that this box may propose; the same rows if there are none."""
@@ -64,10 +66,10 @@
         _repaired(
             row,
             own=own,
-            holds=holds,
+            holds_records=holds_records,
             is_live=is_live,
             has_ended=has_ended,
-            spares=spares,
+            replacements=replacements,
             now=now,
         )
         for row in known.rows
@@ -77,27 +79,33 @@
 def _repaired(
     row: RangeRow,
     *,
-    own: Member,
-    holds: Callable[[int], bool],
-    is_live: Predicate,
-    has_ended: Predicate,
-    spares: list[Member],
+    own: BoxIncarnation,
+    holds_records: Callable[[int], bool],
+    is_live: IncarnationPredicate,
+    has_ended: IncarnationPredicate,
+    replacements: list[BoxIncarnation],
     now: float,
 ) -> RangeRow:
     pair = (row.first, row.second)
     if own in pair:
         other = row.second if own == row.first else row.first
-        if is_live(other) or not holds(row.index):
+        if is_live(other) or not holds_records(row.index):
             return row
-        return _with_survivor(row, own, [spare for spare in spares if spare != own])
-    if all(has_ended(member) for member in pair) and len(spares) > 1:
-        return _row(row.index, epoch=row.epoch + 1, floor=now + MAX_CLOCK_SKEW_S, members=spares)
+        return _replace_peer(
+            row, own, [replacement for replacement in replacements if replacement != own]
+        )
+    if all(has_ended(member) for member in pair) and len(replacements) > 1:
+        return _assign_pair(
+            row.index, epoch=row.epoch + 1, floor=now + MAX_CLOCK_SKEW_S, members=replacements
+        )
     return row
 
 
-def _with_survivor(row: RangeRow, own: Member, spares: list[Member]) -> RangeRow:
-    if not spares:
+def _replace_peer(
+    row: RangeRow, own: BoxIncarnation, replacements: list[BoxIncarnation]
+) -> RangeRow:
+    if not replacements:
         return row
-    by_box = {spare.box: spare for spare in spares}
+    by_box = {replacement.box: replacement for replacement in replacements}
     second = by_box[rank(f"range-{row.index}", by_box)[0]]
     return replace(row, epoch=row.epoch + 1, first=own, second=second)
--- a/src/croftchute/systems/entry.py
+++ b/src/croftchute/systems/entry.py
@@ -17,7 +17,7 @@
     Reserve,
 )
 from croftchute.systems.budget import RetryBudget
-from croftchute.systems.cancels import Cancels
+from croftchute.systems.cancels import CancelTracker
 from croftchute.systems.crash_guard import CrashGuard
 from croftchute.systems.shard_choice import ShardChooser
 from croftchute.tables.requests import (
@@ -46,7 +46,7 @@
 FINAL_DECLINE_CODES = (Code.DEADLINE_PASSED, Code.POLICY_REFUSED, Code.MODEL_UNKNOWN)
 
 
-class Entry:
+class RequestEntry:
     """The requests that came in at this box and are still open."""
 
     def __init__(
@@ -54,7 +54,7 @@
         *,
         box: str,
         topology: Topology,
-        cancels: Cancels,
+        cancels: CancelTracker,
         chooser: ShardChooser,
         owner_of: Callable[[str], str],
         rng: random.Random,
@@ -72,9 +72,9 @@
         self.stale_grants = 0
 
     def __repr__(self) -> str:
-        return f"Entry(box={self.box!r}, open={len(self.open_by_id)})"
+        return f"RequestEntry(box={self.box!r}, open={len(self.open_by_id)})"
 
-    def arrive(self, request: Request, now: float) -> list[Command]:
+    def request_received(self, request: Request, now: float) -> list[Command]:
         """Begin to place a request, or refuse it at once."""
         event = Event(kind=Kind.REQUEST_ARRIVED, request_id=request.id, detail=request.model)
         commands: list[Command] = [Emit(event=event)]
@@ -92,9 +92,9 @@
         row = OpenRequest(
             request=request, state=RequestState.CHOOSING, attempt=1, candidates=candidates
         )
-        return commands + self._ask_next(row, now)
+        return commands + self._ask_next_shard(row, now)
 
-    def granted(self, sender: str, body: Granted, now: float) -> list[Command]:
+    def reservation_granted(self, sender: str, body: Granted, now: float) -> list[Command]:
         """A place was granted: start the attempt, or give the place back if it came late."""
         row = self.open_by_id.get(body.request_id)
         wanted = (
@@ -116,7 +116,7 @@
         prefill_id = self.topology.engine_ids_by_hash.get(body.prefill_hash)
         decode_id = self.topology.engine_ids_by_hash.get(body.decode_hash)
         if prefill_id is None or decode_id is None:
-            return self._unknown_engines(row, body, now)
+            return self._return_unknown_engines(row, body, now)
         plan = Plan(
             request_id=body.request_id,
             attempt=body.attempt,
@@ -139,7 +139,7 @@
         )
         return [Emit(event=event), StartAttempt(plan=plan)]
 
-    def declined(self, body: Declined, now: float) -> list[Command]:
+    def reservation_declined(self, body: Declined, now: float) -> list[Command]:
         """A shard had no place: try the next one, or give the request up."""
         row = self.open_by_id.get(body.request_id)
         if row is None or row.state is not RequestState.CHOOSING:
@@ -157,18 +157,18 @@
         if body.code in FINAL_DECLINE_CODES:
             return commands + self._give_up(row, body.code, now)
         if row.candidates:
-            return commands + self._ask_next(row, now)
-        if row.attempt > 1 and now < row.wait_ends_at:
-            return commands + self._ask_later(row, now)
+            return commands + self._ask_next_shard(row, now)
+        if row.attempt > 1 and now < row.resume_wait_ends_at:
+            return commands + self._schedule_next_ask(row, now)
         return commands + self._give_up(row, body.code, now)
 
-    def progress(self, request_id: str, delivered: int) -> None:
+    def record_delivered(self, request_id: str, delivered: int) -> None:
         """Note how many output tokens the caller has, for a later resume."""
         row = self.open_by_id.get(request_id)
         if row is not None:
             self.open_by_id[request_id] = changed(row, delivered=delivered)
 
-    def ended(self, end: AttemptEnd, now: float) -> list[Command]:
+    def attempt_ended(self, end: AttemptEnd, now: float) -> list[Command]:
         """An attempt is over: finish the request, retry it, or give it up."""
         row = self.open_by_id.get(end.request_id)
         if row is None or row.plan is None or row.attempt != end.attempt:
@@ -181,7 +181,7 @@
             detail="ok" if end.ok else f"{end.code.value} {end.failed_engine}",
         )
         commands: list[Command] = [Emit(event=event)]
-        commands += self._end_plan(row, end, now)
+        commands += self._release_plan(row, end, now)
         self.crashes.note(row.request, end, now)
         if end.ok:
             return commands + self._close(row, Kind.REQUEST_ANSWERED)
@@ -191,7 +191,7 @@
             return commands + self._give_up(row, end.code, now, ran=ran)
         return commands + self._retry(row, end, now)
 
-    def gone(self, request_id: str, now: float) -> list[Command]:
+    def caller_left(self, request_id: str, now: float) -> list[Command]:
         """The caller has left: cancel whatever runs for it."""
         row = self.open_by_id.get(request_id)
         if row is None:
@@ -203,14 +203,14 @@
             commands.append(self._release_asked(row))
         return commands
 
-    def audit(self, sender: str, body: Audit) -> list[Command]:
+    def answer_audit(self, sender: str, body: Audit) -> list[Command]:
         """Tell an owner which of the attempts it asks about are open here."""
         still_open = tuple(key for key in body.keys if self._is_open(key, body.shard))
         return [
             SendPeer(box=sender, body=Audited(shard=body.shard, asked=body.keys, open=still_open))
         ]
 
-    def announce(self, shard: str, owner: str, now: float) -> list[Command]:
+    def announce_attempts(self, shard: str, owner: str, now: float) -> list[Command]:
         """Tell a shard's new owner of all attempts that run there for this box."""
         commands: list[Command] = []
         for row in self.open_by_id.values():
@@ -240,17 +240,17 @@
                 commands += self._give_up(row, Code.DEADLINE_PASSED, now)
             elif now - row.asked_at < _ask_interval_s(row):
                 continue
-            elif row.asks < MAX_ASKS_PER_SHARD or row.has_only_this_shard:
-                commands += self._ask(changed(row, asks=row.asks + 1), now)
+            elif row.asks < MAX_ASKS_PER_SHARD or row.is_last_shard_for_resume:
+                commands += self._send_reserve(changed(row, asks=row.asks + 1), now)
             else:
                 commands.append(self._release_asked(row))
                 if row.candidates:
-                    commands += self._ask_next(row, now)
+                    commands += self._ask_next_shard(row, now)
                 else:
                     commands += self._give_up(row, Code.OWNER_SILENT, now)
         return commands
 
-    def _unknown_engines(self, row: OpenRequest, body: Granted, now: float) -> list[Command]:
+    def _return_unknown_engines(self, row: OpenRequest, body: Granted, now: float) -> list[Command]:
         """The owner has a newer configuration: give the place back and try elsewhere."""
         commands = [self._release_asked(row)]
         declined = Declined(
@@ -260,20 +260,20 @@
             code=Code.NO_UPSTREAM,
             retry_after_s=1.0,
         )
-        return commands + self.declined(declined, now)
+        return commands + self.reservation_declined(declined, now)
 
-    def _ask_next(self, row: OpenRequest, now: float) -> list[Command]:
+    def _ask_next_shard(self, row: OpenRequest, now: float) -> list[Command]:
         shard, *others = row.candidates
         row = changed(row, candidates=tuple(others), asked_shard=shard, asks=1)
-        return self._ask(row, now)
+        return self._send_reserve(row, now)
 
-    def _ask_later(self, row: OpenRequest, now: float) -> list[Command]:
+    def _schedule_next_ask(self, row: OpenRequest, now: float) -> list[Command]:
         """Let an answer that has begun wait for a place, at any engine that may be back."""
         asks = max(row.asks, MAX_ASKS_PER_SHARD)
         self.open_by_id[row.request.id] = changed(row, asked_at=now, asks=asks, avoid=())
         return []
 
-    def _ask(self, row: OpenRequest, now: float) -> list[Command]:
+    def _send_reserve(self, row: OpenRequest, now: float) -> list[Command]:
         row = changed(row, asked_at=now)
         request = row.request
         self.open_by_id[request.id] = row
@@ -309,10 +309,12 @@
         candidates = self.chooser.candidates(row.request, self.topology, now)
         if not candidates:
             return self._give_up(row, end.code, now, ran=Ran.RAN)
-        wait_ends_at = now + MAX_RESUME_WAIT_S
-        return self._ask_next(changed(row, candidates=candidates, wait_ends_at=wait_ends_at), now)
+        resume_wait_ends_at = now + MAX_RESUME_WAIT_S
+        return self._ask_next_shard(
+            changed(row, candidates=candidates, resume_wait_ends_at=resume_wait_ends_at), now
+        )
 
-    def _end_plan(self, row: OpenRequest, end: AttemptEnd, now: float) -> list[Command]:
+    def _release_plan(self, row: OpenRequest, end: AttemptEnd, now: float) -> list[Command]:
         assert row.plan is not None
         commands: list[Command] = []
         if not end.ok:
@@ -337,9 +339,9 @@
 
     def _cancel_engines(self, plan: Plan, now: float) -> list[Command]:
         key = attempt_key(plan.request_id, plan.attempt)
-        commands = self.cancels.add(plan.prefill_id, key, now)
+        commands = self.cancels.start(plan.prefill_id, key, now)
         if plan.decode_id != plan.prefill_id:
-            commands += self.cancels.add(plan.decode_id, key, now)
+            commands += self.cancels.start(plan.decode_id, key, now)
         return commands
 
     def _give_up(
@@ -389,5 +391,5 @@
 
 
 def _ask_interval_s(row: OpenRequest) -> float:
-    is_late_asking = row.asks >= MAX_ASKS_PER_SHARD and row.has_only_this_shard
+    is_late_asking = row.asks >= MAX_ASKS_PER_SHARD and row.is_last_shard_for_resume
     return LAST_SHARD_ASK_INTERVAL_S if is_late_asking else ASK_INTERVAL_S
--- a/src/croftchute/systems/membership.py
+++ b/src/croftchute/systems/membership.py
@@ -21,27 +21,29 @@
         self.own = own
         self.suspect_after_s = suspect_after_s
         self.boxes_by_id: dict[str, Box] = {}
-        self._looked_at: float | None = None
+        self._checked_at: float | None = None
         self._resumed_at = 0.0
 
     def __repr__(self) -> str:
         return f"Membership(own={self.own.id!r}, live={self.live_ids()!r})"
 
-    def introduce(self, boxes: Iterable[Box]) -> None:
+    def add_boxes(self, boxes: Iterable[Box]) -> None:
         """Add boxes from settings or the platform's list; they stay suspect until heard."""
         for box in boxes:
             if box.id != self.own.id:
-                unheard = replace(box, state=BoxState.SUSPECT, heard_at=0.0, incarnation=0)
-                self.boxes_by_id.setdefault(box.id, unheard)
+                not_yet_heard = replace(box, state=BoxState.SUSPECT, heard_at=0.0, incarnation=0)
+                self.boxes_by_id.setdefault(box.id, not_yet_heard)
 
-    def hear(self, sender: str, beat: Heartbeat, now: float) -> tuple[list[Event], bool]:
+    def heartbeat_received(
+        self, sender: str, beat: Heartbeat, now: float
+    ) -> tuple[list[Event], bool]:
         """Take in a heartbeat; says what changed and whether the sender was restarted."""
         known = self.boxes_by_id.get(sender)
         if known is not None and beat.incarnation < known.incarnation:
             return [], False
         restarted = known is not None and 0 < known.incarnation < beat.incarnation
         state = BoxState.LEAVING if beat.leaving else BoxState.LIVE
-        base = _introduced(sender, beat) or known
+        base = _box_from_heartbeat(sender, beat) or known
         if base is None:
             return [], False
         self.boxes_by_id[sender] = replace(
@@ -55,9 +57,9 @@
             return [], False
         return [Event(kind=Kind.BOX_LIVE, detail=f"{sender} {state.value}")], restarted
 
-    def expire(self, now: float) -> list[str]:
+    def suspect_silent(self, now: float) -> list[str]:
         """Suspect the boxes that have fallen silent for too long; returns which."""
-        self._note_look(now)
+        self._note_check(now)
         suspected = []
         for box in list(self.boxes_by_id.values()):
             heard_at = max(box.heard_at, self._resumed_at)
@@ -67,10 +69,10 @@
                 suspected.append(box.id)
         return suspected
 
-    def _note_look(self, now: float) -> None:
+    def _note_check(self, now: float) -> None:
         """After a pause of this box others get the whole time anew."""
-        looked_at, self._looked_at = self._looked_at, now
-        if looked_at is not None and now - looked_at > MAX_CHECK_GAP_SHARE * self.suspect_after_s:
+        checked_at, self._checked_at = self._checked_at, now
+        if checked_at is not None and now - checked_at > MAX_CHECK_GAP_SHARE * self.suspect_after_s:
             self._resumed_at = now
 
     def is_live(self, box_id: str) -> bool:
@@ -89,17 +91,17 @@
         owners = self._ids((BoxState.LIVE,))
         return owners or self.live_ids()
 
-    def peers(self) -> list[Box]:
+    def hall_peers(self) -> list[Box]:
         """All other boxes of this hall that are known, silent ones included."""
         return [box for box in self.boxes_by_id.values() if box.hall == self.own.hall]
 
     def _ids(self, states: tuple[BoxState, ...]) -> list[str]:
         own = [self.own.id] if self.own.state in states else []
-        others = [box.id for box in self.peers() if box.state in states]
+        others = [box.id for box in self.hall_peers() if box.state in states]
         return sorted(own + others)
 
 
-def _introduced(sender: str, beat: Heartbeat) -> Box | None:
+def _box_from_heartbeat(sender: str, beat: Heartbeat) -> Box | None:
     """The box as its heartbeat describes it; None if the heartbeat leaves the address out."""
     if not beat.address:
         return None
--- a/src/croftchute/systems/owner.py
+++ b/src/croftchute/systems/owner.py
@@ -16,15 +16,15 @@
     Reserve,
 )
 from croftchute.systems.admission import max_queue_s
-from croftchute.systems.cancels import Cancels
+from croftchute.systems.cancels import CancelTracker
 from croftchute.systems.fairness import ShareMeter
 from croftchute.systems.ledger import Ledger, committed
-from croftchute.systems.owner_messages import granted_message, policy_failed
+from croftchute.systems.owner_messages import build_granted, policy_failed_event
 from croftchute.systems.placement import Ask, Placement, shortlist
 from croftchute.systems.prediction import OutputForecast, first_forecast
 from croftchute.systems.prefix_index import CacheEvent, PrefixIndex
 from croftchute.systems.pressure import Pressure
-from croftchute.systems.shard_digest import digest_of
+from croftchute.systems.shard_digest import build_digest
 from croftchute.systems.strangers import Strangers
 from croftchute.tables.requests import Reservation
 from croftchute.tables.upstreams import (
@@ -44,48 +44,48 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Ordered:
+class PolicyOrder:
     """What a policy made of a shortlist; ``failure`` says why the built-in order was kept."""
 
     placements: Sequence[Placement]
     failure: str = ""
 
 
-Orderer = Callable[[str, Reserve, Sequence[Placement]], Ordered]
+PolicyOrderer = Callable[[str, Reserve, Sequence[Placement]], PolicyOrder]
 
 
-class Owner:
+class ShardOwner:
     """The shards that this box owns: it alone grants places on their engines."""
 
-    def __init__(self, *, box: str, cancels: Cancels, topology: Topology) -> None:
+    def __init__(self, *, box: str, cancels: CancelTracker, topology: Topology) -> None:
         self.box = box
         self.cancels = cancels
         self.topology = topology
         self.ledger = Ledger()
-        self.owned_since: dict[str, float] = {}
+        self.taken_at_by_shard: dict[str, float] = {}
         self.meters_by_shard: dict[str, ShareMeter] = {}
         self.pressure_by_shard: dict[str, Pressure] = {}
-        self.indices_by_engine: dict[str, PrefixIndex] = {}
+        self.prefix_index_by_engine: dict[str, PrefixIndex] = {}
         self.forecasts_by_model: dict[str, OutputForecast] = {}
         self._facts_by_shard: dict[str, list[EngineFact]] = {}
         self._strangers = Strangers()
         self._next_audit_at = 0.0
 
     def __repr__(self) -> str:
-        return f"Owner(box={self.box!r}, shards={sorted(self.owned_since)!r})"
+        return f"ShardOwner(box={self.box!r}, shards={sorted(self.taken_at_by_shard)!r})"
 
     def set_shards(self, topology: Topology, shards: Iterable[Shard], now: float) -> list[Command]:
         """Own exactly these shards from now on."""
         self.topology = topology
         wanted = {shard.id: shard for shard in shards}
         commands: list[Command] = []
-        for shard_id in sorted(set(self.owned_since) - set(wanted)):
-            del self.owned_since[shard_id]
+        for shard_id in sorted(set(self.taken_at_by_shard) - set(wanted)):
+            del self.taken_at_by_shard[shard_id]
             self.meters_by_shard.pop(shard_id, None)
             self.pressure_by_shard.pop(shard_id, None)
             commands.append(Emit(event=Event(kind=Kind.SHARD_LOST, detail=shard_id)))
-        for shard_id in sorted(set(wanted) - set(self.owned_since)):
-            self.owned_since[shard_id] = now
+        for shard_id in sorted(set(wanted) - set(self.taken_at_by_shard)):
+            self.taken_at_by_shard[shard_id] = now
             self.meters_by_shard[shard_id] = ShareMeter()
             self.pressure_by_shard[shard_id] = Pressure()
             commands.append(Emit(event=Event(kind=Kind.SHARD_TAKEN, detail=shard_id)))
@@ -95,8 +95,8 @@
         }
         facts = [fact for group in self._facts_by_shard.values() for fact in group]
         self.ledger.keep(facts)
-        kept = {fact.id: self.indices_by_engine.get(fact.id, PrefixIndex()) for fact in facts}
-        self.indices_by_engine = kept
+        kept = {fact.id: self.prefix_index_by_engine.get(fact.id, PrefixIndex()) for fact in facts}
+        self.prefix_index_by_engine = kept
         return commands
 
     def engine_ids(self) -> list[str]:
@@ -104,18 +104,18 @@
         return list(self.ledger.loads_by_engine)
 
     def reserve(
-        self, sender: str, ask: Reserve, now: float, order: Orderer | None = None
+        self, sender: str, ask: Reserve, now: float, order: PolicyOrderer | None = None
     ) -> list[Command]:
         """Grant or decline a place; asked again, it answers again without a second grant."""
         held = self.ledger.reservations_by_key.get(f"{ask.request_id}-{ask.attempt}")
         if held is not None:
-            return [SendPeer(box=sender, body=granted_message(held))]
-        if ask.shard not in self.owned_since:
+            return [SendPeer(box=sender, body=build_granted(held))]
+        if ask.shard not in self.taken_at_by_shard:
             return [self._decline(sender, ask, Code.NOT_OWNER, 0.0)]
         model = self.topology.models_by_id.get(ask.model)
         if model is None:
             return [self._decline(sender, ask, Code.MODEL_UNKNOWN, 0.0)]
-        need = self._need(ask)
+        need = self._placement_needs(ask)
         facts = self._facts_by_shard[ask.shard]
         found = shortlist(
             facts,
@@ -133,11 +133,11 @@
             ordered = order(model.policy, ask, found)
             found = list(ordered.placements)
             if ordered.failure:
-                commands.append(Emit(event=policy_failed(ask, ordered.failure)))
+                commands.append(Emit(event=policy_failed_event(ask, ordered.failure)))
         if not found:
             return [self._decline(sender, ask, Code.POLICY_REFUSED, MIN_RETRY_AFTER_S)]
         placement = found[0]
-        refusal = self._refusal(ask, placement, now)
+        refusal = self._refusal_code(ask, placement, now)
         if refusal is not None:
             decline = self._decline(sender, ask, refusal, self._retry_after(ask, now))
             return [*commands, decline]
@@ -154,7 +154,7 @@
             return []
         self.ledger.give_back_prefill(reservation, now)
         if body.output_tokens > 0 and not body.failed_engine and body.confirmed:
-            self._learn(reservation, body.output_tokens)
+            self._update_forecasts(reservation, body.output_tokens)
         event = Event(
             kind=Kind.RESERVE_RELEASED,
             request_id=body.request_id,
@@ -167,10 +167,10 @@
             commands += self._cancel(reservation, now)
         return commands
 
-    def announced(self, sender: str, body: Announced, now: float) -> list[Command]:
+    def adopt_reservation(self, sender: str, body: Announced, now: float) -> list[Command]:
         """Take over a reservation that an earlier owner granted."""
         key = f"{body.request_id}-{body.attempt}"
-        if body.shard not in self.owned_since or key in self.ledger.reservations_by_key:
+        if body.shard not in self.taken_at_by_shard or key in self.ledger.reservations_by_key:
             return []
         reservation = Reservation(
             request_id=body.request_id,
@@ -196,24 +196,24 @@
         self.ledger.add(reservation, None, now)
         return []
 
-    def audited(self, body: Audited, now: float) -> list[Command]:
+    def audit_answered(self, body: Audited, now: float) -> list[Command]:
         """Confirm what an entry box still has open and free what it does not."""
         still_open = set(body.open)
         self.ledger.touch(still_open, now)
         commands: list[Command] = []
         for key in body.asked:
             if key not in still_open:
-                commands += self._drop(key, "closed at entry", now)
+                commands += self._drop_orphan(key, "closed at entry", now)
         return commands
 
-    def entry_gone(self, box: str, now: float) -> list[Command]:
+    def entry_box_gone(self, box: str, now: float) -> list[Command]:
         """An entry box died or was restarted: nobody waits for its requests any more."""
         commands: list[Command] = []
         for key in sorted(self.ledger.keys_by_entry.get(box, ())):
-            commands += self._drop(key, f"entry box {box} gone", now)
+            commands += self._drop_orphan(key, f"entry box {box} gone", now)
         return commands
 
-    def report(
+    def engine_reported(
         self, engine_id: str, report: EngineReport, events: Iterable[CacheEvent], now: float
     ) -> list[Command]:
         """Take in an engine's load report and its cache events."""
@@ -221,12 +221,12 @@
         if fact is None or engine_id not in self.ledger.loads_by_engine:
             return []
         self.ledger.report(fact, report)
-        index = self.indices_by_engine[engine_id]
+        index = self.prefix_index_by_engine[engine_id]
         for event in events:
             index.apply(event)
-        return self._orphans(engine_id, report, now)
+        return self._cancel_unknown_attempts(engine_id, report, now)
 
-    def failed(self, engine_id: str, now: float) -> list[Command]:
+    def engine_unreachable(self, engine_id: str, now: float) -> list[Command]:
         """An engine cannot be reached: no new work for a while."""
         self.ledger.unreachable(engine_id, now)
         return [Emit(event=Event(kind=Kind.UPSTREAM_FAILED, upstream=engine_id))]
@@ -240,7 +240,7 @@
         commands: list[Command] = []
         for key, held in list(self.ledger.reservations_by_key.items()):
             if now > held.deadline_at + DEADLINE_GRACE_S:
-                commands += self._drop(key, "deadline passed", now)
+                commands += self._drop_orphan(key, "deadline passed", now)
             elif now - held.confirmed_at > AUDIT_AFTER_S:
                 due.setdefault((held.entry_box, held.shard), []).append(key)
         for (box, shard), keys in due.items():
@@ -249,13 +249,13 @@
 
     def digests(self, now: float) -> tuple[ShardDigest, ...]:
         """What other boxes need to know of the owned shards."""
-        return tuple(self._digest(shard, now) for shard in self.owned_since)
+        return tuple(self._digest(shard, now) for shard in self.taken_at_by_shard)
 
     def _digest(self, shard_id: str, now: float) -> ShardDigest:
         facts = self._facts_by_shard[shard_id]
-        return digest_of(shard_id, facts, self.ledger.loads_by_engine, now)
+        return build_digest(shard_id, facts, self.ledger.loads_by_engine, now)
 
-    def _need(self, ask: Reserve) -> Ask:
+    def _placement_needs(self, ask: Reserve) -> Ask:
         model = self.topology.models_by_id[ask.model]
         forecast = self.forecasts_by_model.get(ask.model)
         if forecast is None:
@@ -263,7 +263,7 @@
             self.forecasts_by_model[ask.model] = forecast
         mean, variance = forecast.expect(ask.max_tokens)
         cached = {
-            fact.id: self.indices_by_engine[fact.id].cached_tokens(ask.prefix)
+            fact.id: self.prefix_index_by_engine[fact.id].cached_tokens(ask.prefix)
             for fact in self._facts_by_shard[ask.shard]
             if fact.prefills and ask.prefix
         }
@@ -277,7 +277,7 @@
             avoid=ask.avoid,
         )
 
-    def _refusal(self, ask: Reserve, placement: Placement, now: float) -> Code | None:
+    def _refusal_code(self, ask: Reserve, placement: Placement, now: float) -> Code | None:
         wait = placement.first_token_at - now
         if wait > ask.time_left_s:
             return Code.DEADLINE_PASSED
@@ -346,7 +346,7 @@
             upstream=placement.decode_id,
             detail=f"prefill {placement.prefill_id} predicted {wait:.3f}s",
         )
-        return [Emit(event=event), SendPeer(box=sender, body=granted_message(reservation))]
+        return [Emit(event=event), SendPeer(box=sender, body=build_granted(reservation))]
 
     def _decline(self, sender: str, ask: Reserve, code: Code, retry_after_s: float) -> Command:
         body = Declined(
@@ -365,12 +365,12 @@
         wait = self._digest(ask.shard, now).prefill_wait_s
         return max(MIN_RETRY_AFTER_S, min(wait, 10.0))
 
-    def _learn(self, reservation: Reservation, tokens: int) -> None:
+    def _update_forecasts(self, reservation: Reservation, tokens: int) -> None:
         for model, forecast in self.forecasts_by_model.items():
             if self.topology.models_by_id[model].pool == reservation.shard.rpartition("/")[0]:
                 self.forecasts_by_model[model] = forecast.learn(tokens)
 
-    def _drop(self, key: str, reason: str, now: float) -> list[Command]:
+    def _drop_orphan(self, key: str, reason: str, now: float) -> list[Command]:
         reservation = self.ledger.remove(key)
         if reservation is None:
             return []
@@ -385,17 +385,19 @@
         return [Emit(event=event), *self._cancel(reservation, now)]
 
     def _cancel(self, reservation: Reservation, now: float) -> list[Command]:
-        commands = self.cancels.add(reservation.prefill_id, reservation.key, now)
+        commands = self.cancels.start(reservation.prefill_id, reservation.key, now)
         if reservation.decode_id != reservation.prefill_id:
-            commands += self.cancels.add(reservation.decode_id, reservation.key, now)
+            commands += self.cancels.start(reservation.decode_id, reservation.key, now)
         return commands
 
-    def _orphans(self, engine_id: str, report: EngineReport, now: float) -> list[Command]:
+    def _cancel_unknown_attempts(
+        self, engine_id: str, report: EngineReport, now: float
+    ) -> list[Command]:
         """Cancel work that nobody answers for."""
         commands: list[Command] = []
         held = self.ledger.reservations_by_key
         for key in self._strangers.overdue(engine_id, report, held, now):
             event = Event(kind=Kind.ORPHAN_FOUND, upstream=engine_id, detail=key)
             commands.append(Emit(event=event))
-            commands += self.cancels.add(engine_id, key, now)
+            commands += self.cancels.start(engine_id, key, now)
         return commands
--- a/src/croftchute/systems/owner_messages.py
+++ b/src/croftchute/systems/owner_messages.py
@@ -8,7 +8,7 @@
 from croftchute.timeline.events import Event, Kind
 
 
-def policy_failed(ask: Reserve, failure: str) -> Event:
+def policy_failed_event(ask: Reserve, failure: str) -> Event:
     """The event that tells that a policy was passed over for a request."""
     return Event(
         kind=Kind.POLICY_FAILED,
@@ -18,7 +18,7 @@
     )
 
 
-def granted_message(held: Reservation) -> Granted:
+def build_granted(held: Reservation) -> Granted:
     """The message that tells an entry box of a reservation."""
     return Granted(
         request_id=held.request_id,
--- a/src/croftchute/systems/shard_choice.py
+++ b/src/croftchute/systems/shard_choice.py
@@ -19,18 +19,18 @@
 class ShardChooser:
     """Digests by shard, and this box's own grants since each digest."""
 
-    def __init__(self, *, rng: random.Random, reachable: Callable[[str], bool]) -> None:
+    def __init__(self, *, rng: random.Random, is_reachable: Callable[[str], bool]) -> None:
         self.rng = rng
-        self.reachable = reachable
+        self.is_reachable = is_reachable
         self.digests_by_shard: dict[str, ShardDigest] = {}
-        self._asked_since: dict[str, int] = {}
+        self._asks_since_digest: dict[str, int] = {}
 
-    def learn(self, digest: ShardDigest) -> None:
+    def update_digest(self, digest: ShardDigest) -> None:
         """Take in a digest; an older one than known is ignored."""
         known = self.digests_by_shard.get(digest.shard)
         if known is None or digest.at >= known.at:
             self.digests_by_shard[digest.shard] = digest
-            self._asked_since[digest.shard] = 0
+            self._asks_since_digest[digest.shard] = 0
 
     def candidates(self, request: Request, topology: Topology, now: float) -> tuple[str, ...]:
         """Up to three shards to ask in turn, best first."""
@@ -39,12 +39,14 @@
         if not shards:
             return ()
         sample = self._sample(shards)
-        home = self._home(request, shards)
-        if home is not None and home not in sample:
-            sample.append(home)
-        scored = sorted(sample, key=lambda shard: (self._score(shard, home, request), shard.id))
+        affinity_shard = self._affinity_shard(request, shards)
+        if affinity_shard is not None and affinity_shard not in sample:
+            sample.append(affinity_shard)
+        scored = sorted(
+            sample, key=lambda shard: (self._score(shard, affinity_shard, request), shard.id)
+        )
         chosen = tuple(shard.id for shard in scored[:MAX_CANDIDATES])
-        self._asked_since[chosen[0]] = self._asked_since.get(chosen[0], 0) + 1
+        self._asks_since_digest[chosen[0]] = self._asks_since_digest.get(chosen[0], 0) + 1
         return chosen
 
     def _sample(self, shards: tuple[Shard, ...]) -> list[Shard]:
@@ -52,18 +54,18 @@
             return list(shards)
         return self.rng.sample(shards, MAX_SAMPLED_SHARDS)
 
-    def _home(self, request: Request, shards: tuple[Shard, ...]) -> Shard | None:
+    def _affinity_shard(self, request: Request, shards: tuple[Shard, ...]) -> Shard | None:
         """The shard that a prompt's first block belongs to, so that its prefix is reused."""
         if not request.prefix or len(shards) == 1:
             return None
         position = request.prefix[0] % len(shards)
         return shards[position]
 
-    def _score(self, shard: Shard, home: Shard | None, request: Request) -> float:
+    def _score(self, shard: Shard, affinity_shard: Shard | None, request: Request) -> float:
         digest = self.digests_by_shard.get(shard.id)
-        pending = PENDING_ASK_COST_S * self._asked_since.get(shard.id, 0)
-        credit = AFFINITY_CREDIT_S if home is shard else 0.0
-        unreachable = 0.0 if self.reachable(shard.id) else UNAVAILABLE_PENALTY_S
+        pending = PENDING_ASK_COST_S * self._asks_since_digest.get(shard.id, 0)
+        credit = AFFINITY_CREDIT_S if affinity_shard is shard else 0.0
+        unreachable = 0.0 if self.is_reachable(shard.id) else UNAVAILABLE_PENALTY_S
         if digest is None:
             return UNKNOWN_SHARD_WAIT_S + pending - credit + unreachable
         full = digest.free_slots <= 0 or digest.free_kv_tokens < request.prompt_tokens
--- a/src/croftchute/systems/shard_digest.py
+++ b/src/croftchute/systems/shard_digest.py
@@ -9,7 +9,7 @@
 NO_PREFILL_WAIT_S = 60.0
 
 
-def digest_of(
+def build_digest(
     shard_id: str, facts: Sequence[EngineFact], loads: Mapping[str, EngineLoad], now: float
 ) -> ShardDigest:
     """The shortest wait for prefill, the largest free decode memory, and all free slots."""
--- a/src/croftchute/tables/dedupe.py
+++ b/src/croftchute/tables/dedupe.py
@@ -32,7 +32,7 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Member:
+class BoxIncarnation:
     """A box at one of its starts."""
 
     box: str
@@ -51,8 +51,8 @@
     epoch: int
     floor: float
     floor_epoch: int
-    first: Member
-    second: Member
+    first: BoxIncarnation
+    second: BoxIncarnation
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
@@ -96,8 +96,8 @@
             epoch=entry["epoch"],
             floor=entry["floor"],
             floor_epoch=entry["floor_epoch"],
-            first=Member(**entry["first"]),
-            second=Member(**entry["second"]),
+            first=BoxIncarnation(**entry["first"]),
+            second=BoxIncarnation(**entry["second"]),
         )
         for entry in json.loads(raw)
     )
--- a/src/croftchute/tables/requests.py
+++ b/src/croftchute/tables/requests.py
@@ -36,7 +36,7 @@
 class OpenRequest(Row, frozen=True, kw_only=True):
     """A request in progress; ``delivered`` counts output tokens the caller has.
 
-    ``wait_ends_at`` is until when an answer that has begun waits for a place to go on at.
+    ``resume_wait_ends_at`` is until when an answer that has begun waits for a place to go on at.
     """
 
     request: Request
@@ -50,10 +50,10 @@
     avoid: tuple[str, ...] = ()
     plan: Plan | None = None
     retry_after_s: float = 1.0
-    wait_ends_at: float = 0.0
+    resume_wait_ends_at: float = 0.0
 
     @property
-    def has_only_this_shard(self) -> bool:
+    def is_last_shard_for_resume(self) -> bool:
         """Whether an answer that has begun is lost unless the shard that was asked has a place.
 
         Its caller cannot ask elsewhere without losing what it has, so its owner is asked until the
--- a/tests/bench/test_checker.py
+++ b/tests/bench/test_checker.py
@@ -7,9 +7,9 @@
 from croftchute.bench.scenarios import SCENARIOS
 from croftchute.commands import StartAttempt
 from croftchute.errors import Ran
-from croftchute.systems.cancels import Cancels
-from croftchute.systems.entry import Entry
-from croftchute.systems.owner import Owner
+from croftchute.systems.cancels import CancelTracker
+from croftchute.systems.entry import RequestEntry
+from croftchute.systems.owner import ShardOwner
 from croftchute.tables.rows import changed
 
 
@@ -21,7 +21,7 @@
 
 
 def test_cancels_that_are_never_sent_leave_memory_held(monkeypatch):
-    monkeypatch.setattr(Cancels, "tick", lambda self, now: [])
+    monkeypatch.setattr(CancelTracker, "tick", lambda self, now: [])
     monkeypatch.setattr(fleet_router, "CANCEL_LATENCY_S", 999.0)
     monkeypatch.setattr("croftchute.bench.experiment.DRAIN_S", 0.3)
     assert "memory-for-nobody" in kinds("cancels")
@@ -39,7 +39,7 @@
 
 
 def test_a_resume_from_the_wrong_token_is_seen(monkeypatch):
-    granted = Entry.granted
+    granted = RequestEntry.reservation_granted
 
     def from_start(self, sender, body, now):
         return [
@@ -47,15 +47,15 @@
             for c in granted(self, sender, body, now)
         ]
 
-    monkeypatch.setattr(Entry, "granted", from_start)
+    monkeypatch.setattr(RequestEntry, "reservation_granted", from_start)
     assert "not-whole" in kinds("engine-death")
 
 
 def test_a_false_not_run_is_seen(monkeypatch):
-    refuse = Entry._refuse
-    monkeypatch.setattr(Entry, "_may_retry", lambda self, row, end, now: False)
+    refuse = RequestEntry._refuse
+    monkeypatch.setattr(RequestEntry, "_may_retry", lambda self, row, end, now: False)
     monkeypatch.setattr(
-        Entry,
+        RequestEntry,
         "_refuse",
         lambda self, name, code, ran, wait: refuse(self, name, code, Ran.NOT_RUN, wait),
     )
@@ -63,7 +63,7 @@
 
 
 def test_work_sent_to_a_leaving_engine_is_seen(monkeypatch):
-    shards = Owner.set_shards
+    shards = ShardOwner.set_shards
 
     def deaf(self, topology, wanted, now):
         commands = shards(self, topology, wanted, now)
@@ -71,7 +71,7 @@
             self.ledger.loads_by_engine[name] = changed(load, leaving=False)
         return commands
 
-    monkeypatch.setattr(Owner, "set_shards", deaf)
+    monkeypatch.setattr(ShardOwner, "set_shards", deaf)
     report = "croftchute.systems.ledger.Ledger.report"
     monkeypatch.setattr(report, lambda self, fact, report: None)
     assert "work-on-leaving" in kinds("drain")
--- a/tests/systems/test_box.py
+++ b/tests/systems/test_box.py
@@ -32,7 +32,7 @@
 
 def make(name=OWN, peers=()):
     made = BoxSystems(own=box(name), heartbeat_s=1.0, suspect_after_s=3.0, poll_s=1.0, seed=1)
-    made.introduce([box(peer) for peer in peers])
+    made.add_boxes([box(peer) for peer in peers])
     made.apply_config(OBERBAYERN.document(shard_engines=8), 1, 0.0)
     return made
 
--- a/tests/systems/test_crash_guard.py
+++ b/tests/systems/test_crash_guard.py
@@ -26,15 +26,15 @@
 def test_a_request_is_refused_at_arrival_once_three_engines_have_ended_under_it():
     entry = make_entry()
     lose(entry, "e1", "e2")
-    assert sent(entry.arrive(request("r8", digest=DIGEST), 100.0), Reserve)
+    assert sent(entry.request_received(request("r8", digest=DIGEST), 100.0), Reserve)
     lose(entry, "e3")
-    (refusal,) = refusals(entry.arrive(request("r9", digest=DIGEST), 100.0))
+    (refusal,) = refusals(entry.request_received(request("r9", digest=DIGEST), 100.0))
     assert (refusal.code, refusal.ran) == (Code.ENDS_WORKERS, Ran.NOT_RUN)
     assert refusal.retry_after_s == 600.0
     other = request_digest(
         caller="d", method="POST", host="", target="/v1/completions", body=b"bad"
     )
-    assert sent(entry.arrive(request("r10", digest=other), 100.0), Reserve)
+    assert sent(entry.request_received(request("r10", digest=other), 100.0), Reserve)
 
 
 def test_the_third_engine_is_the_last_also_within_one_request():
@@ -50,7 +50,7 @@
         asked_shard=row.asked_shard,
         plan=row.plan,
     )
-    (refusal,) = refusals(entry.ended(end(engine_has_ended=True), 100.0))
+    (refusal,) = refusals(entry.attempt_ended(end(engine_has_ended=True), 100.0))
     assert refusal.ran is Ran.RAN
 
 
@@ -106,7 +106,7 @@
 def test_news_goes_to_the_boxes_that_hear_this_one():
     systems = make(peers=("b1", "b2"))
     lose(systems.entry, "e1", "e2", "e3")
-    commands = systems._crash_news(100.0)
+    commands = systems._send_crash_news(100.0)
     told = [c for c in commands if isinstance(c, SendPeer) and isinstance(c.body, CrashNews)]
     assert told and all(len(command.body.notices) <= 64 for command in told)
     other = make("b1" if systems.own.id != "b1" else "b2", peers=(systems.own.id,))
--- a/tests/systems/test_entry.py
+++ b/tests/systems/test_entry.py
@@ -4,8 +4,8 @@
 from croftchute.commands import CancelAttempt, RefuseRequest, SendPeer, StartAttempt
 from croftchute.errors import Code, Ran
 from croftchute.peers.messages import Declined, Granted, Released, Reserve
-from croftchute.systems.cancels import Cancels
-from croftchute.systems.entry import ASK_INTERVAL_S, Entry
+from croftchute.systems.cancels import CancelTracker
+from croftchute.systems.entry import ASK_INTERVAL_S, RequestEntry
 from croftchute.systems.shard_choice import ShardChooser
 from croftchute.systems.sharding import build_topology
 from croftchute.tables.requests import AttemptEnd, Request
@@ -16,11 +16,11 @@
 
 def make_entry():
     rng = random.Random(1)
-    chooser = ShardChooser(rng=rng, reachable=lambda shard: True)
-    return Entry(
+    chooser = ShardChooser(rng=rng, is_reachable=lambda shard: True)
+    return RequestEntry(
         box="e",
         topology=TOPOLOGY,
-        cancels=Cancels(),
+        cancels=CancelTracker(),
         chooser=chooser,
         owner_of=lambda shard: f"owner-of-{shard}",
         rng=rng,
@@ -54,8 +54,8 @@
 
 
 def start(entry, name="r"):
-    (ask,) = sent(entry.arrive(request(name), 0.0), Reserve)
-    return ask.body, entry.granted(ask.box, grant(ask.body), 0.01)
+    (ask,) = sent(entry.request_received(request(name), 0.0), Reserve)
+    return ask.body, entry.reservation_granted(ask.box, grant(ask.body), 0.01)
 
 
 def end(**changes):
@@ -65,7 +65,7 @@
 
 def test_a_silent_owner_is_asked_again_and_then_another():
     entry = make_entry()
-    (first,) = sent(entry.arrive(request(), 0.0), Reserve)
+    (first,) = sent(entry.request_received(request(), 0.0), Reserve)
     (again,) = sent(entry.tick(ASK_INTERVAL_S * 1.1), Reserve)
     assert again.body.shard == first.body.shard
     commands = entry.tick(ASK_INTERVAL_S * 2.3)
@@ -86,7 +86,7 @@
     """Owners of a busy machine answered after 0.4 s; the stream had been cut by then."""
     entry = make_entry()
     start(entry)
-    commands = [(1.0, command) for command in entry.ended(end(), 1.0)]
+    commands = [(1.0, command) for command in entry.attempt_ended(end(), 1.0)]
     commands += tick_until(entry, 1.0, 29.9)
     assert not of([c for _, c in commands], RefuseRequest)
     asks = [(at, c) for at, c in commands if sent([c], Reserve)]
@@ -94,7 +94,7 @@
     assert 1 <= len(last_second) <= 8
     assert len(asks) < 100
     late = asks[-1][1]
-    assert of(entry.granted(late.box, grant(late.body), 29.9), StartAttempt)
+    assert of(entry.reservation_granted(late.box, grant(late.body), 29.9), StartAttempt)
 
 
 def decline(asked, code=Code.NO_CAPACITY):
@@ -107,7 +107,7 @@
     """Decline all askings of a begun answer; the time of its refusal, and all askings."""
     start(entry)
     now = 1.0
-    commands = entry.ended(end(), now)
+    commands = entry.attempt_ended(end(), now)
     asks = []
     while now < 20.0:
         while commands:
@@ -116,7 +116,7 @@
                 return now, asks
             if sent([command], Reserve):
                 asks.append(command.body)
-                commands += entry.declined(decline(command.body, code), now)
+                commands += entry.reservation_declined(decline(command.body, code), now)
         now += 0.05
         commands = entry.tick(now)
     return None, asks
@@ -139,7 +139,7 @@
 def test_a_begun_answer_is_given_up_at_its_deadline():
     entry = make_entry()
     start(entry)
-    entry.ended(end(), 1.0)
+    entry.attempt_ended(end(), 1.0)
     (refused,) = of([c for _, c in tick_until(entry, 1.0, 31.0)], RefuseRequest)
     assert (refused.code, refused.ran) == (Code.DEADLINE_PASSED, Ran.RAN)
     assert not entry.open_by_id
@@ -147,7 +147,7 @@
 
 def test_a_request_that_has_not_begun_is_refused_soon_if_all_owners_are_silent():
     entry = make_entry()
-    entry.arrive(request(), 0.0)
+    entry.request_received(request(), 0.0)
     found = tick_until(entry, 0.0, 3.0)
     (refused,) = of([c for _, c in found], RefuseRequest)
     assert (refused.code, refused.ran) == (Code.OWNER_SILENT, Ran.NOT_RUN)
@@ -155,10 +155,10 @@
 
 def test_a_grant_that_comes_late_is_given_back():
     entry = make_entry()
-    (first,) = sent(entry.arrive(request(), 0.0), Reserve)
+    (first,) = sent(entry.request_received(request(), 0.0), Reserve)
     entry.tick(ASK_INTERVAL_S * 1.1)
     entry.tick(ASK_INTERVAL_S * 2.3)
-    commands = entry.granted(first.box, grant(first.body), 0.2)
+    commands = entry.reservation_granted(first.box, grant(first.body), 0.2)
     assert sent(commands, Released)
     assert not of(commands, StartAttempt)
 
@@ -167,18 +167,18 @@
     entry = make_entry()
     asked, commands = start(entry)
     assert len(of(commands, StartAttempt)) == 1
-    assert entry.granted("x", grant(asked), 0.02) == []
+    assert entry.reservation_granted("x", grant(asked), 0.02) == []
 
 
 def test_declined_everywhere_is_refused_at_once_as_not_run():
     entry = make_entry()
-    commands = entry.arrive(request(), 0.0)
+    commands = entry.request_received(request(), 0.0)
     while asks := sent(commands, Reserve):
         asked = asks[0].body
         body = Declined(
             request_id="r", attempt=1, shard=asked.shard, code=Code.NO_CAPACITY, retry_after_s=2.0
         )
-        commands = entry.declined(body, 0.01)
+        commands = entry.reservation_declined(body, 0.01)
     (refused,) = of(commands, RefuseRequest)
     assert (refused.code, refused.ran) == (Code.NO_CAPACITY, Ran.NOT_RUN)
     assert refused.retry_after_s == 2.0
@@ -188,7 +188,7 @@
 def test_a_failed_attempt_goes_on_at_the_next_token_elsewhere():
     entry = make_entry()
     start(entry)
-    (ask,) = sent(entry.ended(end(), 1.0), Reserve)
+    (ask,) = sent(entry.attempt_ended(end(), 1.0), Reserve)
     assert (ask.body.attempt, ask.body.resume_from) == (2, 3)
     assert ask.body.avoid == ("hall-1-decode-0",)
 
@@ -196,8 +196,8 @@
 def test_an_end_of_an_earlier_attempt_is_ignored():
     entry = make_entry()
     start(entry)
-    entry.ended(end(), 1.0)
-    assert entry.ended(end(ok=True), 1.1) == []
+    entry.attempt_ended(end(), 1.0)
+    assert entry.attempt_ended(end(ok=True), 1.1) == []
 
 
 def test_retries_end_with_the_budget_and_say_that_it_ran():
@@ -205,7 +205,7 @@
     refusals = []
     for n in range(40):
         start(entry, f"r{n}")
-        commands = entry.ended(end(request_id=f"r{n}"), 1.0)
+        commands = entry.attempt_ended(end(request_id=f"r{n}"), 1.0)
         refusals += of(commands, RefuseRequest)
     assert 0 < len(refusals) < 40
     assert {refusal.ran for refusal in refusals} == {Ran.RAN}
@@ -214,18 +214,18 @@
 def test_a_caller_who_leaves_has_everything_cancelled():
     entry = make_entry()
     start(entry)
-    commands = entry.gone("r", 1.0)
+    commands = entry.caller_left("r", 1.0)
     assert {c.engine_id for c in of(commands, CancelAttempt)} == {
         "hall-1-prefill-0",
         "hall-1-decode-0",
     }
     assert sent(commands, Released)
-    assert entry.gone("r", 1.1) == []
+    assert entry.caller_left("r", 1.1) == []
 
 
 def test_a_cancel_is_repeated_until_it_is_confirmed():
-    cancels = Cancels()
-    assert cancels.add("d", "r-1", 0.0)
+    cancels = CancelTracker()
+    assert cancels.start("d", "r-1", 0.0)
     assert not cancels.tick(0.1)
     assert cancels.tick(0.3)
     cancels.confirm("d", "r-1")
@@ -235,5 +235,5 @@
 def test_without_configuration_nothing_is_run():
     entry = make_entry()
     entry.topology = build_topology(HALL_AT_TARGET.document(shard_engines=8), revision=0, hall="x")
-    (refused,) = of(entry.arrive(request(model="nope"), 0.0), RefuseRequest)
+    (refused,) = of(entry.request_received(request(model="nope"), 0.0), RefuseRequest)
     assert (refused.code, refused.ran) == (Code.NO_CONFIG, Ran.NOT_RUN)
--- a/tests/systems/test_membership.py
+++ b/tests/systems/test_membership.py
@@ -25,13 +25,13 @@
         peer_port=3,
         admin_port=4,
     )
-    membership.hear(sender, heartbeat, now)
+    membership.heartbeat_received(sender, heartbeat, now)
 
 
 def look_until(membership, begin, end, step=0.1):
     found = []
     for n in range(int((end - begin) / step) + 1):
-        found += [(begin + n * step, box) for box in membership.expire(begin + n * step)]
+        found += [(begin + n * step, box) for box in membership.suspect_silent(begin + n * step)]
     return found
 
 
@@ -45,14 +45,14 @@
 def test_a_box_that_was_held_up_itself_suspects_nobody_at_once():
     """Streams were cancelled for entry boxes that were alive, on a machine at its limit."""
     membership = make_membership()
-    membership.expire(0.1)
-    assert membership.expire(2.6) == []
+    membership.suspect_silent(0.1)
+    assert membership.suspect_silent(2.6) == []
     beat(membership, 2.7)
     assert look_until(membership, 2.7, 3.5) == []
 
 
 def test_a_box_that_died_meanwhile_is_suspected_in_the_whole_time_after_a_pause():
     membership = make_membership()
-    membership.expire(0.1)
+    membership.suspect_silent(0.1)
     ((when, _),) = look_until(membership, 2.6, 6.0)
     assert 2.6 + SUSPECT_AFTER_S < when < 2.8 + SUSPECT_AFTER_S
--- a/tests/systems/test_owner.py
+++ b/tests/systems/test_owner.py
@@ -15,8 +15,8 @@
     Released,
     Reserve,
 )
-from croftchute.systems.cancels import Cancels
-from croftchute.systems.owner import Owner
+from croftchute.systems.cancels import CancelTracker
+from croftchute.systems.owner import ShardOwner
 from croftchute.systems.sharding import build_topology
 from croftchute.systems.strangers import GRACE_S
 from croftchute.tables.rows import changed
@@ -50,7 +50,7 @@
 
 def make_owner():
     topology = build_topology(OBERBAYERN.document(shard_engines=8), revision=1, hall=HALL)
-    made = Owner(box="o", cancels=Cancels(), topology=topology)
+    made = ShardOwner(box="o", cancels=CancelTracker(), topology=topology)
     made.set_shards(topology, topology.shards_by_id.values(), 0.0)
     return made
 
@@ -110,7 +110,7 @@
 def test_a_box_that_is_gone_leaves_nothing_behind(owner):
     owner.reserve("e", ask("r"), 1.0)
     held = owner.ledger.reservations_by_key["r-1"]
-    commands = owner.entry_gone("e", 2.0)
+    commands = owner.entry_box_gone("e", 2.0)
     assert cancelled(commands) == {(held.prefill_id, "r-1"), (held.decode_id, "r-1")}
     assert not owner.ledger.reservations_by_key
 
@@ -120,7 +120,7 @@
     owner.reserve("e", ask("s"), 1.0)
     audit = body_of(owner.tick(20.0))
     assert audit == Audit(shard=SHARD, keys=("r-1", "s-1"))
-    owner.audited(Audited(shard=SHARD, asked=audit.keys, open=("s-1",)), 20.0)
+    owner.audit_answered(Audited(shard=SHARD, asked=audit.keys, open=("s-1",)), 20.0)
     assert list(owner.ledger.reservations_by_key) == ["s-1"]
 
 
@@ -129,9 +129,9 @@
         as_of=5.0, running=1, kv_used_tokens=9, prefill_backlog_tokens=0, request_ids=("x-1",)
     )
     engine = owner.engine_ids()[0]
-    assert not cancelled(owner.report(engine, report, (), 5.0))
+    assert not cancelled(owner.engine_reported(engine, report, (), 5.0))
     late = changed(report, as_of=5.1 + GRACE_S)
-    assert cancelled(owner.report(engine, late, (), 8.0)) == {(engine, "x-1")}
+    assert cancelled(owner.engine_reported(engine, late, (), 8.0)) == {(engine, "x-1")}
 
 
 def test_an_announced_attempt_is_no_orphan(owner):
@@ -148,12 +148,12 @@
         expected_output=5.0,
         time_left_s=9.0,
     )
-    owner.announced("e", body, 1.0)
+    owner.adopt_reservation("e", body, 1.0)
     for at in (5.0, 9.0):
         report = EngineReport(
             as_of=at, running=1, kv_used_tokens=9, prefill_backlog_tokens=0, request_ids=("x-1",)
         )
-        assert not cancelled(owner.report(engine, report, (), at))
+        assert not cancelled(owner.engine_reported(engine, report, (), at))
 
 
 def test_a_report_counts_only_the_grants_it_could_not_see(owner):
@@ -161,9 +161,9 @@
     owner.reserve("e", ask("r", prompt_tokens=1200), 10.0)
     cost = 1200 / fact.prefill_tokens_per_s
     report = EngineReport(as_of=9.9, running=0, kv_used_tokens=0, prefill_backlog_tokens=0)
-    owner.report(fact.id, report, (), 10.01)
+    owner.engine_reported(fact.id, report, (), 10.01)
     assert isclose(owner.ledger.loads_by_engine[fact.id].prefill_free_at, 10.0 + cost)
-    owner.report(fact.id, changed(report, as_of=10.05), (), 10.06)
+    owner.engine_reported(fact.id, changed(report, as_of=10.05), (), 10.06)
     assert isclose(owner.ledger.loads_by_engine[fact.id].prefill_free_at, 10.05)
 
 
