--- a/src/croftchute/bench/decode_model.py
+++ b/src/croftchute/bench/decode_model.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass, field
 
 from croftchute.bench.loop import EventLoop
-from croftchute.tables.upstreams import EngineFact
+from croftchute.tables.upstreams import EngineConfig
 
 STEP_BASE_SHARE = 0.4
 WAITING_MAX = 16
@@ -39,7 +39,7 @@
 class DecodeEngine:
     """The batch of one engine; ``fact.step_s`` is the step time with all slots in use."""
 
-    fact: EngineFact
+    fact: EngineConfig
     loop: EventLoop
     dead: bool = False
     stalled_until: float = 0.0
--- a/src/croftchute/bench/prefill_model.py
+++ b/src/croftchute/bench/prefill_model.py
@@ -9,7 +9,7 @@
 
 from croftchute.bench.loop import EventLoop
 from croftchute.systems.prefix_index import BLOCK_TOKENS, CacheEvent
-from croftchute.tables.upstreams import EngineFact
+from croftchute.tables.upstreams import EngineConfig
 
 CACHE_BLOCKS = 4096
 EVENT_GAP_SHARE = 0.02
@@ -35,7 +35,7 @@
 class PrefillEngine:
     """Works on one prompt at a time, highest priority first."""
 
-    fact: EngineFact
+    fact: EngineConfig
     loop: EventLoop
     rng: random.Random
     dead: bool = False
--- a/src/croftchute/bench/routers.py
+++ b/src/croftchute/bench/routers.py
@@ -10,7 +10,7 @@
 from croftchute.bench.world import Running, Ticket, World
 from croftchute.errors import Code, Ran
 from croftchute.tables.requests import AttemptEnd, Plan, attempt_key
-from croftchute.tables.upstreams import EngineFact, EngineReport
+from croftchute.tables.upstreams import EngineConfig, EngineReport
 
 MAX_TRIES = 3
 
@@ -86,7 +86,7 @@
         """Boxes do not talk to each other."""
         return 0.0
 
-    def pick(self, engines: list[EngineFact], ticket: Ticket, *, prefill: bool) -> EngineFact:
+    def pick(self, engines: list[EngineConfig], ticket: Ticket, *, prefill: bool) -> EngineConfig:
         """The engine for the next attempt."""
         raise NotImplementedError
 
@@ -140,7 +140,7 @@
         super().__init__(world=world, finish=finish, seed=seed)
         self._turns: dict[tuple[str, bool], int] = {}
 
-    def pick(self, engines: list[EngineFact], ticket: Ticket, *, prefill: bool) -> EngineFact:
+    def pick(self, engines: list[EngineConfig], ticket: Ticket, *, prefill: bool) -> EngineConfig:
         """The next engine in turn."""
         name = (engines[0].hall, prefill)
         turn = self._turns.get(name, 0)
@@ -159,7 +159,7 @@
         self._sent: dict[tuple[str, str], int] = {}
         self._next_refresh = 0.0
 
-    def pick(self, engines: list[EngineFact], ticket: Ticket, *, prefill: bool) -> EngineFact:
+    def pick(self, engines: list[EngineConfig], ticket: Ticket, *, prefill: bool) -> EngineConfig:
         """The engine with the least backlog or memory in use; ties at random."""
         self._refresh()
         box = ticket.box
@@ -178,7 +178,7 @@
             if report is not None:
                 self._seen[engine_id] = report
 
-    def _load(self, fact: EngineFact, box: str, prefill: bool) -> int:
+    def _load(self, fact: EngineConfig, box: str, prefill: bool) -> int:
         report = self._seen.get(fact.id)
         sent = self._sent.get((box, fact.id), 0)
         if report is None:
--- a/src/croftchute/bench/slopes.py
+++ b/src/croftchute/bench/slopes.py
@@ -14,7 +14,7 @@
 from croftchute.peers.messages import Body, Granted, Heartbeat, Mirror, Released, Reserve
 from croftchute.systems.box import BoxSystems
 from croftchute.systems.cancels import CancelTracker
-from croftchute.systems.fairness import ShareMeter
+from croftchute.systems.fairness import CallerUsageMeter
 from croftchute.systems.owner import ShardOwner
 from croftchute.systems.prefix_index import CacheEvent, PrefixIndex
 from croftchute.systems.sharding import build_topology
@@ -261,7 +261,7 @@
 
 
 def _meter(count: int) -> object:
-    meter = ShareMeter()
+    meter = CallerUsageMeter()
     for n in range(count):
         meter.charge(f"caller-{n}", 500.0, weight=1.0, now=0.0)
     return meter
--- a/src/croftchute/bench/world.py
+++ b/src/croftchute/bench/world.py
@@ -16,7 +16,7 @@
 from croftchute.bench.workload import Arrival
 from croftchute.errors import Code, Ran
 from croftchute.tables.requests import AttemptEnd, Plan, attempt_key
-from croftchute.tables.upstreams import EngineFact, EngineReport
+from croftchute.tables.upstreams import EngineConfig, EngineReport
 
 REPORT_EVERY_S = 0.2
 
@@ -57,7 +57,7 @@
     """All engines of a run, and its tickets."""
 
     loop: EventLoop
-    facts_by_id: dict[str, EngineFact]
+    facts_by_id: dict[str, EngineConfig]
     kv_bytes_per_token: float
     result_ttl_s: float
     latency_s: float
--- a/src/croftchute/daemon/admin.py
+++ b/src/croftchute/daemon/admin.py
@@ -145,7 +145,7 @@
                 "running": load.running,
                 "kv_committed": round(load.kv_committed),
                 "leaving": load.leaving,
-                "closed": load.closed,
+                "closed": load.is_kv_full,
                 "report_as_of": load.report.as_of if load.report else None,
                 "kv_used_tokens": load.report.kv_used_tokens if load.report else None,
             }
--- a/src/croftchute/systems/admission.py
+++ b/src/croftchute/systems/admission.py
@@ -52,8 +52,8 @@
     however much they have used.
     """
     margin = USABLE_TARGET_SHARE - WASTE_AVERSION_MARGIN * waste_aversion
-    left = ttft_s * margin - service_s
-    if left <= 0:
-        return left
+    available_s = ttft_s * margin - service_s
+    if available_s <= 0:
+        return available_s
     share = priority_share(priority) * fairness_share(excess)
-    return left * (1.0 - pressure * (1.0 - share))
+    return available_s * (1.0 - pressure * (1.0 - share))
--- a/src/croftchute/systems/box.py
+++ b/src/croftchute/systems/box.py
@@ -40,7 +40,7 @@
 from croftchute.systems.prefix_index import CacheEvent
 from croftchute.systems.rendezvous import rank
 from croftchute.systems.shard_choice import ShardChooser
-from croftchute.systems.sharding import assign, build_topology
+from croftchute.systems.sharding import assign_evenly, build_topology
 from croftchute.tables.boxes import Box, BoxState
 from croftchute.tables.dedupe import BoxIncarnation, RangeMap
 from croftchute.tables.requests import AttemptEnd, Request
@@ -258,7 +258,7 @@
         self._owner_ids = tuple(self.membership.owner_ids())
         shards = self.topology.shards_by_id
         before = self.owners_by_shard
-        self.owners_by_shard = assign(sorted(shards), self._owner_ids)
+        self.owners_by_shard = assign_evenly(sorted(shards), self._owner_ids)
         own = [shard for shard in shards.values() if self.owner_of(shard.id) == self.own.id]
         commands = self.owner.set_shards(self.topology, own, now)
         for shard_id, owner in self.owners_by_shard.items():
--- a/src/croftchute/systems/fairness.py
+++ b/src/croftchute/systems/fairness.py
@@ -10,7 +10,7 @@
 MAX_METERED_CALLERS = 4096
 
 
-class ShareMeter:
+class CallerUsageMeter:
     """Decayed use by caller, in tokens; one meter for each shard an owner holds."""
 
     def __init__(self) -> None:
--- a/src/croftchute/systems/ledger.py
+++ b/src/croftchute/systems/ledger.py
@@ -5,10 +5,10 @@
 from collections import deque
 from collections.abc import Iterable
 
-from croftchute.systems.placement import Ask, Placement, memory_share
+from croftchute.systems.placement import Placement, PlacementNeeds, kv_tokens_to_commit
 from croftchute.tables.requests import Reservation
 from croftchute.tables.rows import changed
-from croftchute.tables.upstreams import EngineFact, EngineLoad, EngineReport
+from croftchute.tables.upstreams import EngineConfig, EngineLoad, EngineReport
 
 MAX_RECENT_GRANTS = 64
 SUSPECT_DURATION_S = 0.5
@@ -30,9 +30,9 @@
         engines, held = len(self.loads_by_engine), len(self.reservations_by_key)
         return f"Ledger(engines={engines}, reservations={held})"
 
-    def keep(self, facts: Iterable[EngineFact]) -> None:
+    def set_engines(self, engines: Iterable[EngineConfig]) -> None:
         """Keep exactly these engines; reservations on others are dropped."""
-        wanted = {fact.id: fact for fact in facts}
+        wanted = {engine.id: engine for engine in engines}
         for reservation in list(self.reservations_by_key.values()):
             ends = (reservation.prefill_id, reservation.decode_id)
             if not any(engine in wanted for engine in ends if engine):
@@ -40,16 +40,16 @@
         self.loads_by_engine = {
             engine_id: changed(
                 self.loads_by_engine.get(engine_id, EngineLoad(id=engine_id)),
-                leaving=fact.leaving,
+                leaving=engine.leaving,
             )
-            for engine_id, fact in wanted.items()
+            for engine_id, engine in wanted.items()
         }
 
     def add(self, reservation: Reservation, placement: Placement | None, now: float) -> None:
         """Write down a reservation; ``placement`` is None for one taken over from another."""
         self.reservations_by_key[reservation.key] = reservation
         self.keys_by_entry.setdefault(reservation.entry_box, set()).add(reservation.key)
-        self._change_decode(reservation, sign=1)
+        self._adjust_decode_load(reservation, sign=1)
         if placement is None:
             return
         prefill = self.loads_by_engine[placement.prefill_id]
@@ -74,7 +74,7 @@
         keys.discard(key)
         if not keys:
             self.keys_by_entry.pop(reservation.entry_box, None)
-        self._change_decode(reservation, sign=-1)
+        self._adjust_decode_load(reservation, sign=-1)
         return reservation
 
     def give_back_prefill(self, reservation: Reservation, now: float) -> None:
@@ -86,33 +86,33 @@
         free_at = max(now, load.prefill_free_at - saved)
         self.loads_by_engine[load.id] = changed(load, prefill_free_at=free_at)
 
-    def report(self, fact: EngineFact, report: EngineReport) -> None:
+    def apply_report(self, engine: EngineConfig, report: EngineReport) -> None:
         """Correct an engine's row by its report, as of the time the report describes.
 
         Grants made after that time are added on top: the engine could not have seen them.
         """
-        load = self.loads_by_engine[fact.id]
-        free_at = report.as_of + report.prefill_backlog_tokens / fact.prefill_tokens_per_s
-        for granted_at, cost in self._recent_by_engine.get(fact.id, ()):
+        load = self.loads_by_engine[engine.id]
+        free_at = report.as_of + report.prefill_backlog_tokens / engine.prefill_tokens_per_s
+        for granted_at, cost in self._recent_by_engine.get(engine.id, ()):
             if granted_at > report.as_of:
                 free_at = max(free_at, granted_at) + cost
-        fill = report.kv_used_tokens / fact.kv_tokens
-        closed = fill > (REOPEN_AT_KV_FILL if load.closed else CLOSE_AT_KV_FILL)
-        self.loads_by_engine[fact.id] = changed(
+        fill = report.kv_used_tokens / engine.kv_tokens
+        is_kv_full = fill > (REOPEN_AT_KV_FILL if load.is_kv_full else CLOSE_AT_KV_FILL)
+        self.loads_by_engine[engine.id] = changed(
             load,
             report=report,
-            leaving=fact.leaving or report.leaving,
-            closed=closed and fact.decodes,
+            leaving=engine.leaving or report.leaving,
+            is_kv_full=is_kv_full and engine.decodes,
             prefill_free_at=free_at,
         )
 
-    def suspect(self, engine_id: str, now: float) -> None:
+    def mark_suspect(self, engine_id: str, now: float) -> None:
         """Prefer other engines for a while, after a failed call."""
         load = self.loads_by_engine.get(engine_id)
         if load is not None:
             self.loads_by_engine[engine_id] = changed(load, suspect_until=now + SUSPECT_DURATION_S)
 
-    def unreachable(self, engine_id: str, now: float) -> None:
+    def mark_unreachable(self, engine_id: str, now: float) -> None:
         """Keep new work off an engine for a while."""
         load = self.loads_by_engine.get(engine_id)
         if load is not None:
@@ -120,27 +120,27 @@
                 load, unreachable_until=now + UNREACHABLE_DURATION_S
             )
 
-    def rest(self, engine_id: str, rest_s: float, now: float) -> None:
+    def back_off(self, engine_id: str, rest_s: float, now: float) -> None:
         """Keep new work off an engine that asked for rest, for as long as it asked."""
         load = self.loads_by_engine.get(engine_id)
         if load is not None and rest_s > 0.0:
-            until = max(load.rests_until, now + rest_s)
-            self.loads_by_engine[engine_id] = changed(load, rests_until=until)
+            until = max(load.backoff_until, now + rest_s)
+            self.loads_by_engine[engine_id] = changed(load, backoff_until=until)
 
-    def rest_left_s(self, engine_ids: Iterable[str], now: float) -> float:
+    def backoff_left_s(self, engine_ids: Iterable[str], now: float) -> float:
         """When the first of some engines takes work again, if all of them rest; else 0."""
         loads = (self.loads_by_engine.get(engine_id) for engine_id in engine_ids)
-        rests = [max(0.0, load.rests_until - now) for load in loads if load is not None]
+        rests = [max(0.0, load.backoff_until - now) for load in loads if load is not None]
         return min(rests, default=0.0)
 
-    def touch(self, keys: Iterable[str], now: float) -> None:
+    def confirm(self, keys: Iterable[str], now: float) -> None:
         """These reservations were confirmed by their entry box."""
         for key in keys:
             reservation = self.reservations_by_key.get(key)
             if reservation is not None:
                 self.reservations_by_key[key] = changed(reservation, confirmed_at=now)
 
-    def _change_decode(self, reservation: Reservation, *, sign: int) -> None:
+    def _adjust_decode_load(self, reservation: Reservation, *, sign: int) -> None:
         load = self.loads_by_engine.get(reservation.decode_id)
         if load is None:
             return
@@ -152,6 +152,6 @@
         )
 
 
-def committed(ask: Ask) -> tuple[float, float]:
+def kv_commitment(needs: PlacementNeeds) -> tuple[float, float]:
     """KV tokens and variance to write down for a request."""
-    return memory_share(ask), ask.output_variance
+    return kv_tokens_to_commit(needs), needs.output_variance
--- a/src/croftchute/systems/owner.py
+++ b/src/croftchute/systems/owner.py
@@ -17,18 +17,18 @@
 )
 from croftchute.systems.admission import max_queue_s
 from croftchute.systems.cancels import CancelTracker
-from croftchute.systems.fairness import ShareMeter
-from croftchute.systems.ledger import Ledger, committed
+from croftchute.systems.fairness import CallerUsageMeter
+from croftchute.systems.ledger import Ledger, kv_commitment
 from croftchute.systems.owner_messages import build_granted, policy_failed_event
-from croftchute.systems.placement import Ask, Placement, shortlist
-from croftchute.systems.prediction import OutputForecast, first_forecast
+from croftchute.systems.placement import Placement, PlacementNeeds, shortlist_placements
+from croftchute.systems.prediction import OutputLengthForecast, initial_forecast
 from croftchute.systems.prefix_index import CacheEvent, PrefixIndex
 from croftchute.systems.pressure import Pressure
 from croftchute.systems.shard_digest import build_digest
 from croftchute.systems.strangers import Strangers
 from croftchute.tables.requests import Reservation
 from croftchute.tables.upstreams import (
-    EngineFact,
+    EngineConfig,
     EngineReport,
     Shard,
     ShardDigest,
@@ -63,11 +63,11 @@
         self.topology = topology
         self.ledger = Ledger()
         self.taken_at_by_shard: dict[str, float] = {}
-        self.meters_by_shard: dict[str, ShareMeter] = {}
+        self.meters_by_shard: dict[str, CallerUsageMeter] = {}
         self.pressure_by_shard: dict[str, Pressure] = {}
         self.prefix_index_by_engine: dict[str, PrefixIndex] = {}
-        self.forecasts_by_model: dict[str, OutputForecast] = {}
-        self._facts_by_shard: dict[str, list[EngineFact]] = {}
+        self.forecasts_by_model: dict[str, OutputLengthForecast] = {}
+        self._engines_by_shard: dict[str, list[EngineConfig]] = {}
         self._strangers = Strangers()
         self._next_audit_at = 0.0
 
@@ -86,16 +86,19 @@
             commands.append(Emit(event=Event(kind=Kind.SHARD_LOST, detail=shard_id)))
         for shard_id in sorted(set(wanted) - set(self.taken_at_by_shard)):
             self.taken_at_by_shard[shard_id] = now
-            self.meters_by_shard[shard_id] = ShareMeter()
+            self.meters_by_shard[shard_id] = CallerUsageMeter()
             self.pressure_by_shard[shard_id] = Pressure()
             commands.append(Emit(event=Event(kind=Kind.SHARD_TAKEN, detail=shard_id)))
-        self._facts_by_shard = {
+        self._engines_by_shard = {
             shard.id: [topology.engines_by_id[engine] for engine in shard.engine_ids]
             for shard in wanted.values()
         }
-        facts = [fact for group in self._facts_by_shard.values() for fact in group]
-        self.ledger.keep(facts)
-        kept = {fact.id: self.prefix_index_by_engine.get(fact.id, PrefixIndex()) for fact in facts}
+        engines = [engine for group in self._engines_by_shard.values() for engine in group]
+        self.ledger.set_engines(engines)
+        kept = {
+            engine.id: self.prefix_index_by_engine.get(engine.id, PrefixIndex())
+            for engine in engines
+        }
         self.prefix_index_by_engine = kept
         return commands
 
@@ -115,18 +118,18 @@
         model = self.topology.models_by_id.get(ask.model)
         if model is None:
             return [self._decline(sender, ask, Code.MODEL_UNKNOWN, 0.0)]
-        need = self._placement_needs(ask)
-        facts = self._facts_by_shard[ask.shard]
-        found = shortlist(
-            facts,
+        needs = self._placement_needs(ask)
+        engines = self._engines_by_shard[ask.shard]
+        found = shortlist_placements(
+            engines,
             self.ledger.loads_by_engine,
-            need,
+            needs,
             now=now,
             waste_aversion=self.topology.waste_aversion,
         )
         pressure = self.pressure_by_shard[ask.shard]
         if not found:
-            pressure.note(declined=True)
+            pressure.record(declined=True)
             return [self._decline(sender, ask, Code.NO_CAPACITY, self._retry_after(ask, now))]
         commands: list[Command] = []
         if order is not None and model.policy is not None:
@@ -141,15 +144,15 @@
         if refusal is not None:
             decline = self._decline(sender, ask, refusal, self._retry_after(ask, now))
             return [*commands, decline]
-        return commands + self._grant(sender, ask, need, placement, now)
+        return commands + self._grant(sender, ask, needs, placement, now)
 
     def release(self, sender: str, body: Released, now: float) -> list[Command]:
         """Free what an attempt held; cancel it on its engines unless that is confirmed."""
         key = f"{body.request_id}-{body.attempt}"
         reservation = self.ledger.remove(key)
         if body.failed_engine:
-            self.ledger.suspect(body.failed_engine, now)
-            self.ledger.rest(body.failed_engine, body.rest_s, now)
+            self.ledger.mark_suspect(body.failed_engine, now)
+            self.ledger.back_off(body.failed_engine, body.rest_s, now)
         if reservation is None:
             return []
         self.ledger.give_back_prefill(reservation, now)
@@ -199,7 +202,7 @@
     def audit_answered(self, body: Audited, now: float) -> list[Command]:
         """Confirm what an entry box still has open and free what it does not."""
         still_open = set(body.open)
-        self.ledger.touch(still_open, now)
+        self.ledger.confirm(still_open, now)
         commands: list[Command] = []
         for key in body.asked:
             if key not in still_open:
@@ -217,10 +220,10 @@
         self, engine_id: str, report: EngineReport, events: Iterable[CacheEvent], now: float
     ) -> list[Command]:
         """Take in an engine's load report and its cache events."""
-        fact = self.topology.engines_by_id.get(engine_id)
-        if fact is None or engine_id not in self.ledger.loads_by_engine:
+        engine = self.topology.engines_by_id.get(engine_id)
+        if engine is None or engine_id not in self.ledger.loads_by_engine:
             return []
-        self.ledger.report(fact, report)
+        self.ledger.apply_report(engine, report)
         index = self.prefix_index_by_engine[engine_id]
         for event in events:
             index.apply(event)
@@ -228,7 +231,7 @@
 
     def engine_unreachable(self, engine_id: str, now: float) -> list[Command]:
         """An engine cannot be reached: no new work for a while."""
-        self.ledger.unreachable(engine_id, now)
+        self.ledger.mark_unreachable(engine_id, now)
         return [Emit(event=Event(kind=Kind.UPSTREAM_FAILED, upstream=engine_id))]
 
     def tick(self, now: float) -> list[Command]:
@@ -252,22 +255,22 @@
         return tuple(self._digest(shard, now) for shard in self.taken_at_by_shard)
 
     def _digest(self, shard_id: str, now: float) -> ShardDigest:
-        facts = self._facts_by_shard[shard_id]
-        return build_digest(shard_id, facts, self.ledger.loads_by_engine, now)
+        engines = self._engines_by_shard[shard_id]
+        return build_digest(shard_id, engines, self.ledger.loads_by_engine, now)
 
-    def _placement_needs(self, ask: Reserve) -> Ask:
+    def _placement_needs(self, ask: Reserve) -> PlacementNeeds:
         model = self.topology.models_by_id[ask.model]
         forecast = self.forecasts_by_model.get(ask.model)
         if forecast is None:
-            forecast = first_forecast(model.expected_output_tokens)
+            forecast = initial_forecast(model.expected_output_tokens)
             self.forecasts_by_model[ask.model] = forecast
-        mean, variance = forecast.expect(ask.max_tokens)
+        mean, variance = forecast.capped_at(ask.max_tokens)
         cached = {
-            fact.id: self.prefix_index_by_engine[fact.id].cached_tokens(ask.prefix)
-            for fact in self._facts_by_shard[ask.shard]
-            if fact.prefills and ask.prefix
+            engine.id: self.prefix_index_by_engine[engine.id].cached_tokens(ask.prefix)
+            for engine in self._engines_by_shard[ask.shard]
+            if engine.prefills and ask.prefix
         }
-        return Ask(
+        return PlacementNeeds(
             prompt_tokens=ask.prompt_tokens + ask.resume_from,
             expected_output=max(1.0, mean - ask.resume_from),
             output_variance=variance,
@@ -288,9 +291,9 @@
         service = placement.service_s
         queued = ask.waited_s + wait - service
         if queued > self._max_queue_s(ask, service, excess=0.0, pressure=0.0):
-            pressure.note(declined=True)
+            pressure.record(declined=True)
             return Code.TARGET_UNREACHABLE
-        pressure.note(declined=False)
+        pressure.record(declined=False)
         excess = self.meters_by_shard[ask.shard].excess(ask.caller, now)
         if queued <= self._max_queue_s(ask, service, excess=excess, pressure=pressure.level):
             return None
@@ -309,9 +312,9 @@
         )
 
     def _grant(
-        self, sender: str, ask: Reserve, need: Ask, placement: Placement, now: float
+        self, sender: str, ask: Reserve, needs: PlacementNeeds, placement: Placement, now: float
     ) -> list[Command]:
-        kv_committed, kv_variance = committed(need)
+        kv_committed, kv_variance = kv_commitment(needs)
         reservation = Reservation(
             request_id=ask.request_id,
             attempt=ask.attempt,
@@ -323,7 +326,7 @@
             decode_id=placement.decode_id,
             prompt_tokens=ask.prompt_tokens,
             uncached_tokens=placement.uncached_tokens,
-            expected_output=need.expected_output,
+            expected_output=needs.expected_output,
             kv_committed=kv_committed,
             kv_variance=kv_variance,
             prefill_start_at=placement.prefill_start_at,
@@ -336,7 +339,7 @@
         self.ledger.add(reservation, placement, now)
         weights = self.topology.weights_by_caller
         weight = weights.get(ask.caller, weights.get(ANY_CALLER, 1.0))
-        cost = placement.uncached_tokens + need.expected_output
+        cost = placement.uncached_tokens + needs.expected_output
         self.meters_by_shard[ask.shard].charge(ask.caller, cost, weight=weight, now=now)
         wait = placement.first_token_at - now
         event = Event(
@@ -359,7 +362,7 @@
         return SendPeer(box=sender, body=body)
 
     def _retry_after(self, ask: Reserve, now: float) -> float:
-        rest_s = self.ledger.rest_left_s(self.topology.shards_by_id[ask.shard].engine_ids, now)
+        rest_s = self.ledger.backoff_left_s(self.topology.shards_by_id[ask.shard].engine_ids, now)
         if rest_s > 0.0:
             return rest_s
         wait = self._digest(ask.shard, now).prefill_wait_s
@@ -368,7 +371,7 @@
     def _update_forecasts(self, reservation: Reservation, tokens: int) -> None:
         for model, forecast in self.forecasts_by_model.items():
             if self.topology.models_by_id[model].pool == reservation.shard.rpartition("/")[0]:
-                self.forecasts_by_model[model] = forecast.learn(tokens)
+                self.forecasts_by_model[model] = forecast.updated(tokens)
 
     def _drop_orphan(self, key: str, reason: str, now: float) -> list[Command]:
         reservation = self.ledger.remove(key)
--- a/src/croftchute/systems/prediction.py
+++ b/src/croftchute/systems/prediction.py
@@ -8,26 +8,26 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class OutputForecast:
+class OutputLengthForecast:
     """Exponentially weighted mean and variance of output lengths, in tokens."""
 
     mean: float
     variance: float
 
-    def learn(self, tokens: int) -> OutputForecast:
+    def updated(self, tokens: int) -> OutputLengthForecast:
         """The forecast after one more output of this length."""
         error = tokens - self.mean
         mean = self.mean + LEARNING_RATE * error
         variance = (1.0 - LEARNING_RATE) * (self.variance + LEARNING_RATE * error * error)
         return replace(self, mean=mean, variance=variance)
 
-    def expect(self, max_tokens: int) -> tuple[float, float]:
+    def capped_at(self, max_tokens: int) -> tuple[float, float]:
         """Mean and variance for a request limited to ``max_tokens``."""
         if max_tokens <= self.mean:
             return float(max_tokens), 0.0
         return self.mean, self.variance
 
 
-def first_forecast(expected_tokens: float) -> OutputForecast:
+def initial_forecast(expected_tokens: float) -> OutputLengthForecast:
     """The forecast before anything is learned: spread as wide as the mean itself."""
-    return OutputForecast(mean=expected_tokens, variance=(expected_tokens * 0.5) ** 2)
+    return OutputLengthForecast(mean=expected_tokens, variance=(expected_tokens * 0.5) ** 2)
--- a/src/croftchute/systems/prefix_index.py
+++ b/src/croftchute/systems/prefix_index.py
@@ -30,42 +30,46 @@
     def __init__(self, *, max_blocks: int = MAX_BLOCKS) -> None:
         self.max_blocks = max_blocks
         self.next_seq: int | None = None
-        self._era = 0
-        self._era_by_block: OrderedDict[int, int] = OrderedDict()
+        self._generation = 0
+        self._generation_by_block: OrderedDict[int, int] = OrderedDict()
 
     def __repr__(self) -> str:
-        return f"PrefixIndex(blocks={len(self._era_by_block)}, next_seq={self.next_seq})"
+        return f"PrefixIndex(blocks={len(self._generation_by_block)}, next_seq={self.next_seq})"
 
     def apply(self, event: CacheEvent) -> None:
         """Take in an event; one that came before is ignored, a gap makes all entries doubtful."""
         if self.next_seq is not None and event.seq < self.next_seq:
             return
         if self.next_seq is not None and event.seq > self.next_seq:
-            self.doubt()
+            self.mark_stale()
         self.next_seq = event.seq + 1
         for block in event.evicted:
-            self._era_by_block.pop(block, None)
+            self._generation_by_block.pop(block, None)
         for block in event.stored:
-            self._era_by_block[block] = self._era
-            self._era_by_block.move_to_end(block)
-        while len(self._era_by_block) > self.max_blocks:
-            self._era_by_block.popitem(last=False)
+            self._generation_by_block[block] = self._generation
+            self._generation_by_block.move_to_end(block)
+        while len(self._generation_by_block) > self.max_blocks:
+            self._generation_by_block.popitem(last=False)
 
-    def doubt(self) -> None:
+    def mark_stale(self) -> None:
         """Make all present entries doubtful."""
-        self._era += 1
+        self._generation += 1
 
-    def forget(self) -> None:
+    def clear(self) -> None:
         """The engine restarted: its cache is empty and its sequence begins anew."""
-        self._era_by_block.clear()
+        self._generation_by_block.clear()
         self.next_seq = None
 
     def cached_tokens(self, prefix: Sequence[int]) -> float:
         """Expected number of a prompt's leading tokens that the engine holds."""
         tokens = 0.0
         for block in prefix:
-            era = self._era_by_block.get(block)
-            if era is None:
+            generation = self._generation_by_block.get(block)
+            if generation is None:
                 break
-            tokens += BLOCK_TOKENS if era == self._era else BLOCK_TOKENS * STALE_BLOCK_CREDIT
+            tokens += (
+                BLOCK_TOKENS
+                if generation == self._generation
+                else BLOCK_TOKENS * STALE_BLOCK_CREDIT
+            )
         return tokens
--- a/src/croftchute/systems/pressure.py
+++ b/src/croftchute/systems/pressure.py
@@ -20,6 +20,6 @@
         """0 without declines, 1 from a tenth of the asks on."""
         return min(1.0, self.declined_share / FULL_PRESSURE_DECLINED_SHARE)
 
-    def note(self, *, declined: bool) -> None:
+    def record(self, *, declined: bool) -> None:
         """Count an ask; declined means that nobody's ask of that size could have been granted."""
         self.declined_share += LEARNING_RATE * (float(declined) - self.declined_share)
--- a/src/croftchute/systems/shard_digest.py
+++ b/src/croftchute/systems/shard_digest.py
@@ -4,23 +4,25 @@
 
 from collections.abc import Mapping, Sequence
 
-from croftchute.tables.upstreams import EngineFact, EngineLoad, ShardDigest
+from croftchute.tables.upstreams import EngineConfig, EngineLoad, ShardDigest
 
 NO_PREFILL_WAIT_S = 60.0
 
 
 def build_digest(
-    shard_id: str, facts: Sequence[EngineFact], loads: Mapping[str, EngineLoad], now: float
+    shard_id: str, engines: Sequence[EngineConfig], loads: Mapping[str, EngineLoad], now: float
 ) -> ShardDigest:
     """The shortest wait for prefill, the largest free decode memory, and all free slots."""
     waits = [
-        max(0.0, loads[fact.id].prefill_free_at - now)
-        for fact in facts
-        if fact.prefills and loads[fact.id].usable(now)
+        max(0.0, loads[engine.id].prefill_free_at - now)
+        for engine in engines
+        if engine.prefills and loads[engine.id].accepts_work(now)
     ]
-    decoders = [fact for fact in facts if fact.decodes and loads[fact.id].usable(now)]
-    room = [fact.kv_tokens - loads[fact.id].kv_committed for fact in decoders]
-    slots = [fact.slots - loads[fact.id].running for fact in decoders]
+    decoders = [
+        engine for engine in engines if engine.decodes and loads[engine.id].accepts_work(now)
+    ]
+    room = [engine.kv_tokens - loads[engine.id].kv_committed for engine in decoders]
+    slots = [engine.slots - loads[engine.id].running for engine in decoders]
     return ShardDigest(
         shard=shard_id,
         at=now,
--- a/src/croftchute/systems/sharding.py
+++ b/src/croftchute/systems/sharding.py
@@ -11,22 +11,22 @@
 
 from croftchute.config.documents import Document, EngineSpec, PoolSpec, Role, UpstreamState
 from croftchute.systems.rendezvous import rank
-from croftchute.tables.upstreams import EngineFact, ModelFact, Shard, Topology, engine_hash
+from croftchute.tables.upstreams import EngineConfig, ModelConfig, Shard, Topology, engine_hash
 
 
-def assign(keys: Sequence[str], places: Sequence[str]) -> dict[str, str]:
+def assign_evenly(keys: Sequence[str], places: Sequence[str]) -> dict[str, str]:
     """A place for each key, with at most an even share of keys (rounded up) at a place.
 
-    >>> sorted(assign(["a", "b", "c", "d"], ["x", "y"]).values())
+    >>> sorted(assign_evenly(["a", "b", "c", "d"], ["x", "y"]).values())
     ['x', 'x', 'y', 'y']
     """
     if not places:
         return {}
-    room = ceil(len(keys) / len(places))
+    capacity = ceil(len(keys) / len(places))
     taken = dict.fromkeys(places, 0)
     place_by_key: dict[str, str] = {}
     for key in sorted(keys):
-        place = next(place for place in rank(key, places) if taken[place] < room)
+        place = next(place for place in rank(key, places) if taken[place] < capacity)
         taken[place] += 1
         place_by_key[key] = place
     return place_by_key
@@ -50,7 +50,7 @@
     members: dict[str, list[str]] = {name: [] for name in names}
     for role in Role:
         ids = [engine.id for engine in engines if engine.role is role]
-        for engine_id, name in assign(ids, names).items():
+        for engine_id, name in assign_evenly(ids, names).items():
             members[name].append(engine_id)
     return tuple(
         Shard(id=name, pool=pool.id, index=n, engine_ids=tuple(sorted(members[name])))
@@ -66,9 +66,9 @@
     return Topology(
         revision=revision,
         hall=hall,
-        engines_by_id={engine.id: _engine_fact(engine) for engine in engines},
+        engines_by_id={engine.id: _engine_config(engine) for engine in engines},
         engine_ids_by_hash={engine_hash(engine.id): engine.id for engine in engines},
-        models_by_id=_model_facts(document),
+        models_by_id=_model_configs(document),
         shards_by_id={shard.id: shard for shard in shards},
         shards_by_pool=shards_by_pool,
         weights_by_caller={caller.id: caller.weight for caller in document.callers},
@@ -80,8 +80,8 @@
     )
 
 
-def _engine_fact(engine: EngineSpec) -> EngineFact:
-    return EngineFact(
+def _engine_config(engine: EngineSpec) -> EngineConfig:
+    return EngineConfig(
         id=engine.id,
         url=engine.url,
         hall=engine.hall,
@@ -96,10 +96,10 @@
     )
 
 
-def _model_facts(document: Document) -> dict[str, ModelFact]:
+def _model_configs(document: Document) -> dict[str, ModelConfig]:
     pool_by_model = {model: pool for pool in document.pools for model in pool.models}
     return {
-        model.id: ModelFact(
+        model.id: ModelConfig(
             id=model.id,
             pool=pool_by_model[model.id].id,
             version=model.active_version,
--- a/src/croftchute/tables/upstreams.py
+++ b/src/croftchute/tables/upstreams.py
@@ -39,15 +39,15 @@
     leaving: bool = False
     suspect_until: float = 0.0
     unreachable_until: float = 0.0
-    rests_until: float = 0.0
-    closed: bool = False
+    backoff_until: float = 0.0
+    is_kv_full: bool = False
     report: EngineReport | None = None
 
-    def usable(self, now: float) -> bool:
+    def accepts_work(self, now: float) -> bool:
         """Whether new work may go to the engine."""
-        if self.leaving or self.closed:
+        if self.leaving or self.is_kv_full:
             return False
-        return now >= self.unreachable_until and now >= self.rests_until
+        return now >= self.unreachable_until and now >= self.backoff_until
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
@@ -62,7 +62,7 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class EngineFact:
+class EngineConfig:
     """What the configuration says of one engine, as the systems read it."""
 
     id: str
@@ -89,7 +89,7 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class ModelFact:
+class ModelConfig:
     """What the configuration says of one model, as the systems read it."""
 
     id: str
@@ -109,9 +109,9 @@
 
     revision: int
     hall: str
-    engines_by_id: dict[str, EngineFact] = field(default_factory=dict)
+    engines_by_id: dict[str, EngineConfig] = field(default_factory=dict)
     engine_ids_by_hash: dict[int, str] = field(default_factory=dict)
-    models_by_id: dict[str, ModelFact] = field(default_factory=dict)
+    models_by_id: dict[str, ModelConfig] = field(default_factory=dict)
     shards_by_id: dict[str, Shard] = field(default_factory=dict)
     shards_by_pool: dict[str, tuple[Shard, ...]] = field(default_factory=dict)
     weights_by_caller: dict[str, float] = field(default_factory=dict)
--- a/tests/bench/test_checker.py
+++ b/tests/bench/test_checker.py
@@ -72,8 +72,8 @@
         return commands
 
     monkeypatch.setattr(ShardOwner, "set_shards", deaf)
-    report = "croftchute.systems.ledger.Ledger.report"
-    monkeypatch.setattr(report, lambda self, fact, report: None)
+    report = "croftchute.systems.ledger.Ledger.apply_report"
+    monkeypatch.setattr(report, lambda self, engine, report: None)
     assert "work-on-leaving" in kinds("drain")
 
 
--- a/tests/systems/test_box.py
+++ b/tests/systems/test_box.py
@@ -3,12 +3,12 @@
 from croftchute.commands import CancelAttempt
 from croftchute.peers.messages import Heartbeat
 from croftchute.systems.box import BoxSystems
-from croftchute.systems.sharding import assign
+from croftchute.systems.sharding import assign_evenly
 from croftchute.tables.boxes import Box, BoxState
 
 HALL = "halle-a"
 NAMES = ["b0", "b1", "b2"]
-OWN = assign(["pool/0"], NAMES)["pool/0"]
+OWN = assign_evenly(["pool/0"], NAMES)["pool/0"]
 OTHER, THIRD = [name for name in NAMES if name != OWN]
 
 
--- a/tests/systems/test_fairness.py
+++ b/tests/systems/test_fairness.py
@@ -4,7 +4,7 @@
 from hypothesis import strategies as st
 
 from croftchute.systems.admission import max_queue_s
-from croftchute.systems.fairness import DECAY_PER_S, MAX_METERED_CALLERS, ShareMeter
+from croftchute.systems.fairness import DECAY_PER_S, MAX_METERED_CALLERS, CallerUsageMeter
 
 CHARGES = st.lists(
     st.tuples(st.sampled_from("abc"), st.floats(1, 1000), st.floats(0, 5)), min_size=1, max_size=30
@@ -14,7 +14,7 @@
 
 @given(CHARGES)
 def test_the_meter_says_the_same_as_the_whole_history(charges):
-    meter, history, now = ShareMeter(), [], 0.0
+    meter, history, now = CallerUsageMeter(), [], 0.0
     for caller, tokens, wait in charges:
         now += wait
         meter.charge(caller, tokens, weight=WEIGHT[caller], now=now)
@@ -28,7 +28,7 @@
 
 
 def test_state_is_dropped_when_callers_are_idle():
-    meter = ShareMeter()
+    meter = CallerUsageMeter()
     for n in range(MAX_METERED_CALLERS + 10):
         meter.charge(f"c{n}", 10.0, weight=1.0, now=n * 0.1)
     assert len(meter) < 1000
--- a/tests/systems/test_owner.py
+++ b/tests/systems/test_owner.py
@@ -100,10 +100,10 @@
     granted = 0
     for n in range(200):
         granted += isinstance(body_of(owner.reserve("e", ask(f"r{n}"), n * 1.0)), Granted)
-    facts = owner.topology.engines_by_id
+    engines = owner.topology.engines_by_id
     for load in owner.ledger.loads_by_engine.values():
-        assert load.running <= facts[load.id].slots
-        assert load.kv_committed <= facts[load.id].kv_tokens
+        assert load.running <= engines[load.id].slots
+        assert load.kv_committed <= engines[load.id].kv_tokens
     assert 0 < granted < 200
 
 
@@ -157,14 +157,14 @@
 
 
 def test_a_report_counts_only_the_grants_it_could_not_see(owner):
-    fact = next(f for f in owner.topology.engines_by_id.values() if f.prefills)
+    engine = next(f for f in owner.topology.engines_by_id.values() if f.prefills)
     owner.reserve("e", ask("r", prompt_tokens=1200), 10.0)
-    cost = 1200 / fact.prefill_tokens_per_s
+    cost = 1200 / engine.prefill_tokens_per_s
     report = EngineReport(as_of=9.9, running=0, kv_used_tokens=0, prefill_backlog_tokens=0)
-    owner.engine_reported(fact.id, report, (), 10.01)
-    assert isclose(owner.ledger.loads_by_engine[fact.id].prefill_free_at, 10.0 + cost)
-    owner.engine_reported(fact.id, changed(report, as_of=10.05), (), 10.06)
-    assert isclose(owner.ledger.loads_by_engine[fact.id].prefill_free_at, 10.05)
+    owner.engine_reported(engine.id, report, (), 10.01)
+    assert isclose(owner.ledger.loads_by_engine[engine.id].prefill_free_at, 10.0 + cost)
+    owner.engine_reported(engine.id, changed(report, as_of=10.05), (), 10.06)
+    assert isclose(owner.ledger.loads_by_engine[engine.id].prefill_free_at, 10.05)
 
 
 @settings(max_examples=60)
@@ -192,14 +192,14 @@
         later = body_of(owner.reserve("e", ask(f"r{n}"), 20.0))
         assert isinstance(later, Granted)
         assert decode not in (names[later.prefill_hash], names[later.decode_hash])
-    assert not owner.ledger.loads_by_engine[decode].usable(31.9)
-    assert owner.ledger.loads_by_engine[decode].usable(32.0)
-    assert owner.ledger.loads_by_engine[prefill].usable(2.0)
+    assert not owner.ledger.loads_by_engine[decode].accepts_work(31.9)
+    assert owner.ledger.loads_by_engine[decode].accepts_work(32.0)
+    assert owner.ledger.loads_by_engine[prefill].accepts_work(2.0)
 
 
 def test_where_all_engines_rest_the_first_end_of_a_rest_is_told(owner):
     engines = owner.topology.shards_by_id[SHARD].engine_ids
     for n, engine in enumerate(engines):
-        owner.ledger.rest(engine, 30.0 + n, 1.0)
+        owner.ledger.back_off(engine, 30.0 + n, 1.0)
     declined = body_of(owner.reserve("e", ask("r"), 11.0))
     assert declined.retry_after_s == 20.0
--- a/tests/systems/test_prefix_index.py
+++ b/tests/systems/test_prefix_index.py
@@ -19,26 +19,26 @@
     """Marks every entry doubtful one by one at a gap, with no bound and no eras."""
 
     def __init__(self):
-        self.sure_by_block = {}
+        self.is_fresh_by_block = {}
         self.next_seq = None
 
     def apply(self, event):
         if self.next_seq is not None and event.seq < self.next_seq:
             return
         if self.next_seq is not None and event.seq > self.next_seq:
-            self.sure_by_block = dict.fromkeys(self.sure_by_block, False)
+            self.is_fresh_by_block = dict.fromkeys(self.is_fresh_by_block, False)
         self.next_seq = event.seq + 1
         for block in event.evicted:
-            self.sure_by_block.pop(block, None)
+            self.is_fresh_by_block.pop(block, None)
         for block in event.stored:
-            self.sure_by_block[block] = True
+            self.is_fresh_by_block[block] = True
 
     def cached_tokens(self, prefix):
         tokens = 0.0
         for block in prefix:
-            if block not in self.sure_by_block:
+            if block not in self.is_fresh_by_block:
                 break
-            tokens += BLOCK_TOKENS * (1 if self.sure_by_block[block] else STALE_BLOCK_CREDIT)
+            tokens += BLOCK_TOKENS * (1 if self.is_fresh_by_block[block] else STALE_BLOCK_CREDIT)
         return tokens
 
 
--- a/tests/systems/test_sharding.py
+++ b/tests/systems/test_sharding.py
@@ -1,7 +1,7 @@
 from dataclasses import replace
 
 from croftchute.bench.scenarios import HALL_AT_TARGET, OBERBAYERN
-from croftchute.systems.sharding import assign, build_topology
+from croftchute.systems.sharding import assign_evenly, build_topology
 
 SHARDS = [f"p/{n}" for n in range(58)]
 
@@ -11,23 +11,23 @@
         hall = scenario.halls[0].name
         topology = build_topology(scenario.document(shard_engines=8), revision=1, hall=hall)
         for shard in topology.shards_by_id.values():
-            facts = [topology.engines_by_id[engine] for engine in shard.engine_ids]
-            assert any(fact.prefills for fact in facts)
-            assert any(fact.decodes for fact in facts)
+            engines = [topology.engines_by_id[engine] for engine in shard.engine_ids]
+            assert any(engine.prefills for engine in engines)
+            assert any(engine.decodes for engine in engines)
 
 
 def test_no_box_owns_more_than_its_even_share():
     boxes = [f"b{n}" for n in range(9)]
-    owners = list(assign(SHARDS, boxes).values())
+    owners = list(assign_evenly(SHARDS, boxes).values())
     assert max(owners.count(box) for box in boxes) <= 7
 
 
 def test_losing_one_of_many_boxes_moves_few_shards():
     boxes = [f"b{n}" for n in range(72)]
-    before = assign(SHARDS, boxes)
+    before = assign_evenly(SHARDS, boxes)
     moved = []
     for gone in boxes:
-        after = assign(SHARDS, [box for box in boxes if box != gone])
+        after = assign_evenly(SHARDS, [box for box in boxes if box != gone])
         moved.append(sum(before[s] != after[s] for s in SHARDS))
     # An even move would be 58 / 72 of a shard; the bound on shares adds a little.
     assert sum(moved) / len(moved) <= 3
@@ -36,7 +36,7 @@
 def test_an_engine_of_another_hall_is_not_in_the_topology():
     document = OBERBAYERN.document(shard_engines=8)
     topology = build_topology(document, revision=1, hall="halle-b")
-    assert {fact.hall for fact in topology.engines_by_id.values()} == {"halle-b"}
+    assert {engine.hall for engine in topology.engines_by_id.values()} == {"halle-b"}
     assert (
         build_topology(replace(document, pools=[]), revision=2, hall="halle-b").shards_by_id == {}
     )
