--- a/src/croftchute/bench/fleet_router.py
+++ b/src/croftchute/bench/fleet_router.py
@@ -15,8 +15,8 @@
 from croftchute.commands import (
     CancelAttempt,
     Command,
-    Emit,
-    FetchShared,
+    EmitEvent,
+    FetchSharedState,
     PollEngine,
     RefuseRequest,
     SendPeer,
@@ -195,10 +195,10 @@
                     self._cancel(node, command)
                 case PollEngine():
                     self._poll(node, command.engine_id)
-                case Emit():
+                case EmitEvent():
                     name = node.systems.own.id
                     self.events.append((self._world.loop.now, name, command.event))
-                case FetchShared():
+                case FetchSharedState():
                     now = self._world.loop.now
                     self._do(node, node.systems.apply_config(self.document, self.revision, now))
                 case _:
--- a/src/croftchute/commands.py
+++ b/src/croftchute/commands.py
@@ -47,20 +47,20 @@
     engine_id: str
 
 
-class FetchShared(Row, frozen=True, kw_only=True):
+class FetchSharedState(Row, frozen=True, kw_only=True):
     """Get a newer configuration or range map from a peer."""
 
     box: str
 
 
-class ProposeRanges(Row, frozen=True, kw_only=True):
+class ProposeRangeMap(Row, frozen=True, kw_only=True):
     """Try to put new rows in place of a version of the range map in the platform's store."""
 
     version: int
     rows: tuple[RangeRow, ...]
 
 
-class Emit(Row, frozen=True, kw_only=True):
+class EmitEvent(Row, frozen=True, kw_only=True):
     """Put an event on the time line."""
 
     event: Event
@@ -82,8 +82,8 @@
     | RefuseRequest
     | CancelAttempt
     | PollEngine
-    | FetchShared
-    | ProposeRanges
-    | Emit
+    | FetchSharedState
+    | ProposeRangeMap
+    | EmitEvent
     | DecideCall
 )
--- a/src/croftchute/daemon/box_process.py
+++ b/src/croftchute/daemon/box_process.py
@@ -11,10 +11,10 @@
     CancelAttempt,
     Command,
     DecideCall,
-    Emit,
-    FetchShared,
+    EmitEvent,
+    FetchSharedState,
     PollEngine,
-    ProposeRanges,
+    ProposeRangeMap,
     RefuseRequest,
     SendPeer,
     StartAttempt,
@@ -168,7 +168,7 @@
             suspect_after_s=settings.suspect_after_s,
             poll_s=settings.poll_s,
             seed=random.SystemRandom().getrandbits(32),
-            order=self.policies.order,
+            order_placements=self.policies.order_placements,
         )
         self.engine_io = EngineIo(
             engine=self.engine,
@@ -277,7 +277,7 @@
 
     def note(self, event: Event) -> None:
         """Put an event on the time line."""
-        self.submit(lambda _: [Emit(event=event)])
+        self.submit(lambda _: [EmitEvent(event=event)])
 
     def observe(self, completion: Completion, request: Request, outcome: str) -> None:
         """Count a completion that is over."""
@@ -303,7 +303,7 @@
         return bool(self.systems.dedupe.own_ranges) and len(self.systems.membership.live_ids()) > 1
 
     def _start_draining(self, now: float) -> list[Command]:
-        event = Emit(event=Event(kind=Kind.DRAIN_STARTED))
+        event = EmitEvent(event=Event(kind=Kind.DRAIN_STARTED))
         return [event, *self.systems.start_leaving(now)]
 
     def _tick(self, now: float) -> list[Command]:
@@ -315,7 +315,7 @@
             match command:
                 case SendPeer():
                     bodies_by_box.setdefault(command.box, []).append(command.body)
-                case Emit():
+                case EmitEvent():
                     self._emit(command.event, now)
                 case StartAttempt():
                     self._decide(command.plan.request_id, command)
@@ -327,9 +327,9 @@
                     self.engine_io.poll(command)
                 case CancelAttempt():
                     self.engine_io.cancel(command)
-                case FetchShared():
+                case FetchSharedState():
                     self._others.submit(self.knowledge.fetch, command.box)
-                case ProposeRanges():
+                case ProposeRangeMap():
                     self._others.submit(self.knowledge.propose, command)
         stamp = self.stamps.tick(now)
         for box, bodies in bodies_by_box.items():
--- a/src/croftchute/daemon/knowledge_feed.py
+++ b/src/croftchute/daemon/knowledge_feed.py
@@ -9,7 +9,7 @@
 import urllib3
 from loguru import logger
 
-from croftchute.commands import Command, ProposeRanges
+from croftchute.commands import Command, ProposeRangeMap
 from croftchute.config.checks import parse_document
 from croftchute.daemon.runner import Job
 from croftchute.daemon.shared_state import SharedState, fetch_shared
@@ -88,7 +88,7 @@
             if is_found:
                 return
 
-    def propose(self, command: ProposeRanges) -> None:
+    def propose(self, command: ProposeRangeMap) -> None:
         """Propose a range map to the store; take in what came of it."""
         found = self._box.sync.propose(command.version, command.rows)
         if found is not None:
--- a/src/croftchute/policies/runner.py
+++ b/src/croftchute/policies/runner.py
@@ -24,40 +24,44 @@
 
     def __init__(self, *, clock: Callable[[], float]) -> None:
         self.clock = clock
-        self.failures_by_policy: dict[str, int] = {}
+        self.consecutive_failures_by_policy: dict[str, int] = {}
         self._compiled_by_name: dict[str, CompiledPolicy] = {}
-        self._rests_until: dict[str, float] = {}
+        self._suspended_until: dict[str, float] = {}
 
     def load(self, document: Document) -> None:
         """Put a checked document's policies in force."""
         self._compiled_by_name = {
             policy.id: compile_policy(policy.id, policy.source) for policy in document.policies
         }
-        self.failures_by_policy.clear()
-        self._rests_until.clear()
+        self.consecutive_failures_by_policy.clear()
+        self._suspended_until.clear()
 
-    def order(self, policy: str, ask: Reserve, placements: Sequence[Placement]) -> PolicyOrder:
+    def order_placements(
+        self, policy: str, ask: Reserve, placements: Sequence[Placement]
+    ) -> PolicyOrder:
         """The placements as the policy orders them."""
         compiled = self._compiled_by_name.get(policy)
         started = self.clock()
-        if compiled is None or started < self._rests_until.get(policy, 0.0):
+        if compiled is None or started < self._suspended_until.get(policy, 0.0):
             return PolicyOrder(placements=placements, failure=f"{policy}: resting")
         by_id = {_candidate_id(placement): placement for placement in placements}
         try:
             ids = compiled.order(_request(ask), [_candidate(p, placements) for p in placements])
         except PolicyError as error:
-            return self._failed(policy, placements, error.message)
+            return self._record_failure(policy, placements, error.message)
         if self.clock() - started > MAX_RUN_S:
-            return self._failed(policy, placements, f"{policy}: overran {MAX_RUN_S} s")
-        self.failures_by_policy[policy] = 0
+            return self._record_failure(policy, placements, f"{policy}: overran {MAX_RUN_S} s")
+        self.consecutive_failures_by_policy[policy] = 0
         return PolicyOrder(placements=[by_id[id] for id in ids])
 
-    def _failed(self, policy: str, placements: Sequence[Placement], failure: str) -> PolicyOrder:
-        count = self.failures_by_policy.get(policy, 0) + 1
-        self.failures_by_policy[policy] = count
+    def _record_failure(
+        self, policy: str, placements: Sequence[Placement], failure: str
+    ) -> PolicyOrder:
+        count = self.consecutive_failures_by_policy.get(policy, 0) + 1
+        self.consecutive_failures_by_policy[policy] = count
         if count >= MAX_CONSECUTIVE_FAILURES:
-            self._rests_until[policy] = self.clock() + SUSPENSION_S
-            self.failures_by_policy[policy] = 0
+            self._suspended_until[policy] = self.clock() + SUSPENSION_S
+            self.consecutive_failures_by_policy[policy] = 0
         return PolicyOrder(placements=placements, failure=failure)
 
 
--- a/src/croftchute/policies/starlark_policy.py
+++ b/src/croftchute/policies/starlark_policy.py
@@ -14,9 +14,9 @@
 
 from croftchute.errors import Code, PolicyError
 
-ENTRY_POINT = "order"
+ENTRY_FUNCTION = "order"
 MAX_SOURCE_BYTES = 16384
-MAX_RANGE_MESSAGE = "policies loop over their candidates; range() is not available"
+RANGE_UNAVAILABLE_MESSAGE = "policies loop over their candidates; range() is not available"
 
 PolicyValue = str | int | float | bool
 PolicyRecord = Mapping[str, PolicyValue]
@@ -37,7 +37,7 @@
         known = {str(candidate["id"]) for candidate in candidates}
         try:
             result = self._module.call(
-                ENTRY_POINT, dict(request), [dict(candidate) for candidate in candidates]
+                ENTRY_FUNCTION, dict(request), [dict(candidate) for candidate in candidates]
             )
         except (starlark.StarlarkError, ValueError, TypeError) as error:
             raise PolicyError(Code.POLICY_INVALID, f"policy {self.name!r}: {error}") from None
@@ -53,13 +53,13 @@
         message = f"{name}: longer than {MAX_SOURCE_BYTES} bytes"
         raise PolicyError(Code.POLICY_INVALID, message)
     if "range(" in source:
-        raise PolicyError(Code.POLICY_INVALID, f"{name}: {MAX_RANGE_MESSAGE}")
+        raise PolicyError(Code.POLICY_INVALID, f"{name}: {RANGE_UNAVAILABLE_MESSAGE}")
     module = starlark.Module()
     try:
         starlark.eval(module, starlark.parse(name, source), starlark.Globals.standard())
         frozen = module.freeze()
     except starlark.StarlarkError as error:
         raise PolicyError(Code.POLICY_INVALID, str(error)) from None
-    if f"def {ENTRY_POINT}(" not in source:
-        raise PolicyError(Code.POLICY_INVALID, f"{name}:1:1: defines no {ENTRY_POINT}()")
+    if f"def {ENTRY_FUNCTION}(" not in source:
+        raise PolicyError(Code.POLICY_INVALID, f"{name}:1:1: defines no {ENTRY_FUNCTION}()")
     return CompiledPolicy(name=name, module=frozen)
--- a/src/croftchute/systems/box.py
+++ b/src/croftchute/systems/box.py
@@ -9,7 +9,14 @@
 from collections.abc import Iterable
 from dataclasses import replace
 
-from croftchute.commands import Command, Emit, FetchShared, PollEngine, ProposeRanges, SendPeer
+from croftchute.commands import (
+    Command,
+    EmitEvent,
+    FetchSharedState,
+    PollEngine,
+    ProposeRangeMap,
+    SendPeer,
+)
 from croftchute.config.documents import Document
 from croftchute.peers.messages import (
     AllowanceAsk,
@@ -66,12 +73,12 @@
         suspect_after_s: float,
         poll_s: float,
         seed: int,
-        order: PolicyOrderer | None = None,
+        order_placements: PolicyOrderer | None = None,
     ) -> None:
         self.own = own
         self.heartbeat_s = heartbeat_s
         self.poll_s = poll_s
-        self.order = order
+        self.order_placements = order_placements
         rng = random.Random(seed)
         self.topology = Topology(revision=0, hall=own.hall)
         self.membership = Membership(own=own, suspect_after_s=suspect_after_s)
@@ -111,12 +118,12 @@
         self.topology = build_topology(document, revision=revision, hall=self.own.hall)
         self.entry.topology = self.topology
         event = Event(kind=Kind.CONFIG_APPLIED, detail=f"revision {revision}")
-        commands: list[Command] = [Emit(event=event)]
+        commands: list[Command] = [EmitEvent(event=event)]
         for engine in self.topology.engines_by_id.values():
             earlier = before.engines_by_id.get(engine.id)
             if engine.leaving and (earlier is None or not earlier.leaving):
                 leaving = Event(kind=Kind.UPSTREAM_LEAVING, upstream=engine.id, detail="config")
-                commands.append(Emit(event=leaving))
+                commands.append(EmitEvent(event=leaving))
         return commands + self._reassign(now)
 
     def add_boxes(self, boxes: Iterable[Box]) -> None:
@@ -132,16 +139,16 @@
 
     def request_received(self, request: Request, now: float) -> list[Command]:
         """A caller's request came in."""
-        return self._deliver(self.entry.request_received(request, now), now)
+        return self._deliver_to_self(self.entry.request_received(request, now), now)
 
     def attempt_ended(self, end: AttemptEnd, now: float) -> list[Command]:
         """An attempt of a request ended."""
         commands = self.entry.attempt_ended(end, now) + self._send_crash_news(now)
-        return self._deliver(commands, now)
+        return self._deliver_to_self(commands, now)
 
     def caller_left(self, request_id: str, now: float) -> list[Command]:
         """A caller left."""
-        return self._deliver(self.entry.caller_left(request_id, now), now)
+        return self._deliver_to_self(self.entry.caller_left(request_id, now), now)
 
     def engine_reported(
         self, engine_id: str, report: EngineReport, events: Iterable[CacheEvent], now: float
@@ -161,15 +168,15 @@
         self, key: str, token: str, key_created_at: float | None, now: float
     ) -> list[Command]:
         """Ask to run a non-repeatable call; ``key_created_at`` is None if this box made its key."""
-        return self._deliver(self.dedupe.begin_call(key, token, key_created_at, now), now)
+        return self._deliver_to_self(self.dedupe.begin_call(key, token, key_created_at, now), now)
 
     def finish_call(self, finish: Finish, now: float) -> list[Command]:
         """A non-repeatable call that was let run has an outcome."""
-        return self._deliver(self.dedupe.finish_call(finish, now), now)
+        return self._deliver_to_self(self.dedupe.finish_call(finish, now), now)
 
     def receive(self, sender: str, body: Body, now: float) -> list[Command]:
         """A message from a peer, or from this box to itself."""
-        return self._deliver(self._dispatch(sender, body, now), now)
+        return self._deliver_to_self(self._dispatch(sender, body, now), now)
 
     def tick(self, now: float) -> list[Command]:
         """Run what is due by time alone."""
@@ -183,14 +190,14 @@
         commands += self.dedupe.tick(now)
         commands += self._repair_ranges(now)
         commands += self._send_due_announcements(now)
-        return self._deliver(commands, now)
+        return self._deliver_to_self(commands, now)
 
     def _dispatch(self, sender: str, body: Body, now: float) -> list[Command]:
         match body:
             case Heartbeat():
                 return self._heartbeat_received(sender, body, now)
             case Reserve():
-                return self.owner.reserve(sender, body, now, self.order)
+                return self.owner.reserve(sender, body, now, self.order_placements)
             case Granted():
                 return self.entry.reservation_granted(sender, body, now)
             case Declined():
@@ -211,19 +218,19 @@
             case Begin() | Mirror() | Mirrored() | Verdict() | Finish():
                 return self.dedupe.receive(sender, body, now)
 
-    def _deliver(self, commands: list[Command], now: float) -> list[Command]:
+    def _deliver_to_self(self, commands: list[Command], now: float) -> list[Command]:
         """Hand messages that this box sends itself straight back in."""
         out: list[Command] = []
         for command in commands:
             if isinstance(command, SendPeer) and command.box == self.own.id:
-                out += self._deliver(self._dispatch(self.own.id, command.body, now), now)
+                out += self._deliver_to_self(self._dispatch(self.own.id, command.body, now), now)
             else:
                 out.append(command)
         return out
 
     def _heartbeat_received(self, sender: str, beat: Heartbeat, now: float) -> list[Command]:
         events, restarted = self.membership.heartbeat_received(sender, beat, now)
-        commands: list[Command] = [Emit(event=event) for event in events]
+        commands: list[Command] = [EmitEvent(event=event) for event in events]
         if restarted:
             commands += self.owner.entry_box_gone(sender, now)
             commands += self.dedupe.box_restarted(sender, beat.incarnation)
@@ -237,14 +244,14 @@
         newer_map = beat.map_version > self.dedupe.map.version
         if (newer_config or newer_map) and now >= self._next_fetch_at:
             self._next_fetch_at = now + FETCH_INTERVAL_S
-            commands.append(FetchShared(box=sender))
+            commands.append(FetchSharedState(box=sender))
         return commands
 
     def _suspect_silent_boxes(self, now: float) -> list[Command]:
         """Free what silent boxes held. One that was never heard has not fallen silent."""
         commands: list[Command] = []
         for box in self.membership.suspect_silent(now):
-            commands.append(Emit(event=Event(kind=Kind.BOX_SUSPECT, detail=box)))
+            commands.append(EmitEvent(event=Event(kind=Kind.BOX_SUSPECT, detail=box)))
             commands += self.owner.entry_box_gone(box, now)
         return commands
 
@@ -333,7 +340,7 @@
 
     def apply_range_map(self, known: RangeMap, now: float) -> list[Command]:
         """A range map came from the store or a peer."""
-        return self._deliver(self.dedupe.apply_map(known, now), now)
+        return self._deliver_to_self(self.dedupe.apply_map(known, now), now)
 
     def _repair_ranges(self, now: float) -> list[Command]:
         if now < self._next_repair_at:
@@ -354,7 +361,7 @@
             )
         if rows == known.rows:
             return []
-        return [ProposeRanges(version=known.version, rows=rows)]
+        return [ProposeRangeMap(version=known.version, rows=rows)]
 
     def _is_live_incarnation(self, member: BoxIncarnation) -> bool:
         if member == self.dedupe.own:
--- a/src/croftchute/systems/cancels.py
+++ b/src/croftchute/systems/cancels.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass, replace
 
-from croftchute.commands import CancelAttempt, Command, Emit
+from croftchute.commands import CancelAttempt, Command, EmitEvent
 from croftchute.timeline.events import Event, Kind
 
 FIRST_RETRY_DELAY_S = 0.2
@@ -44,7 +44,7 @@
         if self.pending_by_target.pop((engine_id, key), None) is None:
             return []
         event = Event(kind=Kind.CANCEL_CONFIRMED, upstream=engine_id, request_id=key)
-        return [Emit(event=event)]
+        return [EmitEvent(event=event)]
 
     def tick(self, now: float) -> list[Command]:
         """Send the cancels that are due."""
--- a/src/croftchute/systems/dedupe.py
+++ b/src/croftchute/systems/dedupe.py
@@ -9,7 +9,7 @@
 
 from dataclasses import dataclass, replace
 
-from croftchute.commands import Command, DecideCall, Emit, SendPeer
+from croftchute.commands import Command, DecideCall, EmitEvent, SendPeer
 from croftchute.errors import Code
 from croftchute.peers.messages import Begin, Body, Finish, Mirror, Mirrored, Verdict
 from croftchute.systems.dedupe_map import MAX_CLOCK_SKEW_S
@@ -118,7 +118,7 @@
         self._next_sync_at = now
         detail = f"version {known.version}, in {len(self.own_ranges)} pairs"
         event = Event(kind=Kind.DEDUPE_EPOCH, detail=detail)
-        return [Emit(event=event), *self.tick(now)]
+        return [EmitEvent(event=event), *self.tick(now)]
 
     def begin_call(
         self, key: str, token: str, key_created_at: float | None, now: float
@@ -136,8 +136,8 @@
         if key_created_at is not None and key_created_at < max(
             row.floor, now - RECORD_TTL_S + MAX_CLOCK_SKEW_S
         ):
-            return self._send_begin(row, key, token, now, old=True)
-        return self._send_begin(row, key, token, now, old=False)
+            return self._send_begin(row, key, token, now, lookup_only=True)
+        return self._send_begin(row, key, token, now, lookup_only=False)
 
     def finish_call(self, finish: Finish, now: float) -> list[Command]:
         """Entry side: what came of a call; repeated until the first box has it."""
@@ -176,10 +176,10 @@
         return commands
 
     def _send_begin(
-        self, row: RangeRow, key: str, token: str, now: float, *, old: bool
+        self, row: RangeRow, key: str, token: str, now: float, *, lookup_only: bool
     ) -> list[Command]:
         # An old key may only be looked up: an empty token asks for that.
-        body = Begin(key=key, token=token, epoch=-row.epoch if old else row.epoch)
+        body = Begin(key=key, token=token, epoch=-row.epoch if lookup_only else row.epoch)
         self._pending_by_token[token] = PendingMessage(
             key=key, body=body, first_sent_at=now, last_sent_at=now
         )
@@ -276,7 +276,7 @@
         )
         verdict = Verdict(key=body.key, token=body.token, decision=Decision.RUN)
         event = Event(kind=Kind.CALL_ALLOWED, request_id=body.token, detail=f"epoch {body.epoch}")
-        return [Emit(event=event), SendPeer(box=sender_box, body=verdict)]
+        return [EmitEvent(event=event), SendPeer(box=sender_box, body=verdict)]
 
     def _finish(self, sender: str, body: Finish, now: float) -> list[Command]:
         row = self._rows_by_index.get(range_of(body.key))
@@ -315,10 +315,10 @@
     def _resend_unanswered(self, now: float) -> list[Command]:
         commands: list[Command] = []
         for name, pending in list(self._pending_by_token.items()):
-            begins = isinstance(pending.body, Begin)
-            if now - pending.first_sent_at > (VERDICT_TIMEOUT_S if begins else FINISH_TIMEOUT_S):
+            is_begin = isinstance(pending.body, Begin)
+            if now - pending.first_sent_at > (VERDICT_TIMEOUT_S if is_begin else FINISH_TIMEOUT_S):
                 del self._pending_by_token[name]
-                if begins:
+                if is_begin:
                     commands += self._abandon(pending, now)
                 continue
             if now - pending.last_sent_at < RESEND_INTERVAL_S:
@@ -342,18 +342,18 @@
     def _start_epoch(self, row: RangeRow, earlier: RangeRow | None) -> None:
         """Begin a range's new epoch: keep the records only as the survivor of a pair."""
         held = earlier is not None and self.held_epoch_by_range.get(row.index) == earlier.epoch
-        continues = held and earlier is not None and row.epoch == earlier.epoch + 1
-        begins_anew = row.floor_epoch == row.epoch
+        keeps_records = held and earlier is not None and row.epoch == earlier.epoch + 1
+        starts_empty = row.floor_epoch == row.epoch
         self.held_epoch_by_range.pop(row.index, None)
         self._unsynced_by_range.pop(row.index, None)
-        mine = [key for key in self.records_by_key if range_of(key) == row.index]
-        if row.first == self.own and continues and not begins_anew:
+        own_keys = [key for key in self.records_by_key if range_of(key) == row.index]
+        if row.first == self.own and keeps_records and not starts_empty:
             self.held_epoch_by_range[row.index] = row.epoch
-            self._unsynced_by_range[row.index] = set(mine)
+            self._unsynced_by_range[row.index] = set(own_keys)
         else:
-            for key in mine:
+            for key in own_keys:
                 del self.records_by_key[key]
-        if row.first == self.own and begins_anew:
+        if row.first == self.own and starts_empty:
             self.held_epoch_by_range[row.index] = row.epoch
             self._unsynced_by_range[row.index] = set()
 
@@ -387,8 +387,8 @@
         return [SendPeer(box=row.second.box, body=mirror)]
 
     def _drop_expired(self, now: float) -> None:
-        old = [key for key, row in self.records_by_key.items() if now - row.at > RECORD_TTL_S]
-        for key in old:
+        expired = [key for key, row in self.records_by_key.items() if now - row.at > RECORD_TTL_S]
+        for key in expired:
             del self.records_by_key[key]
 
 
--- a/src/croftchute/systems/entry.py
+++ b/src/croftchute/systems/entry.py
@@ -5,7 +5,7 @@
 import random
 from collections.abc import Callable
 
-from croftchute.commands import Command, Emit, RefuseRequest, SendPeer, StartAttempt
+from croftchute.commands import Command, EmitEvent, RefuseRequest, SendPeer, StartAttempt
 from croftchute.errors import Code, Ran
 from croftchute.peers.messages import (
     Announced,
@@ -16,9 +16,9 @@
     Released,
     Reserve,
 )
-from croftchute.systems.budget import RetryBudget
 from croftchute.systems.cancels import CancelTracker
 from croftchute.systems.crash_guard import CrashGuard
+from croftchute.systems.pool_retry_budget import PoolRetryBudget
 from croftchute.systems.shard_choice import ShardChooser
 from croftchute.tables.requests import (
     AttemptEnd,
@@ -67,7 +67,7 @@
         self.rng = rng
         self.open_by_id: dict[str, OpenRequest] = {}
         self.choosing_ids: set[str] = set()
-        self.budgets_by_pool: dict[str, RetryBudget] = {}
+        self.retry_budget_by_pool: dict[str, PoolRetryBudget] = {}
         self.crashes = CrashGuard()
         self.stale_grants = 0
 
@@ -77,7 +77,7 @@
     def request_received(self, request: Request, now: float) -> list[Command]:
         """Begin to place a request, or refuse it at once."""
         event = Event(kind=Kind.REQUEST_ARRIVED, request_id=request.id, detail=request.model)
-        commands: list[Command] = [Emit(event=event)]
+        commands: list[Command] = [EmitEvent(event=event)]
         refused_s = self.crashes.refused_s(request, now)
         if refused_s > 0.0:
             return commands + self._refuse(request.id, Code.ENDS_WORKERS, Ran.NOT_RUN, refused_s)
@@ -85,7 +85,7 @@
         if model is None:
             code = Code.MODEL_UNKNOWN if self.topology.revision else Code.NO_CONFIG
             return commands + self._refuse(request.id, code, Ran.NOT_RUN, 1.0)
-        self._budget(model.pool).earn()
+        self._retry_budget(model.pool).deposit()
         candidates = self.chooser.candidates(request, self.topology, now)
         if not candidates:
             return commands + self._refuse(request.id, Code.NO_UPSTREAM, Ran.NOT_RUN, 1.0)
@@ -97,12 +97,12 @@
     def reservation_granted(self, sender: str, body: Granted, now: float) -> list[Command]:
         """A place was granted: start the attempt, or give the place back if it came late."""
         row = self.open_by_id.get(body.request_id)
-        wanted = (
+        is_expected = (
             row is not None
             and row.state is RequestState.CHOOSING
             and (row.attempt, row.asked_shard) == (body.attempt, body.shard)
         )
-        if row is None or not wanted:
+        if row is None or not is_expected:
             running = row is not None and row.plan is not None and row.attempt == body.attempt
             if (
                 running
@@ -137,7 +137,7 @@
             upstream=decode_id,
             detail=f"prefill {prefill_id}",
         )
-        return [Emit(event=event), StartAttempt(plan=plan)]
+        return [EmitEvent(event=event), StartAttempt(plan=plan)]
 
     def reservation_declined(self, body: Declined, now: float) -> list[Command]:
         """A shard had no place: try the next one, or give the request up."""
@@ -152,7 +152,7 @@
             attempt=body.attempt,
             detail=f"{body.shard} {body.code.value}",
         )
-        commands: list[Command] = [Emit(event=event)]
+        commands: list[Command] = [EmitEvent(event=event)]
         row = changed(row, retry_after_s=max(body.retry_after_s, 0.5))
         if body.code in FINAL_DECLINE_CODES:
             return commands + self._give_up(row, body.code, now)
@@ -180,7 +180,7 @@
             upstream=row.plan.decode_id,
             detail="ok" if end.ok else f"{end.code.value} {end.failed_engine}",
         )
-        commands: list[Command] = [Emit(event=event)]
+        commands: list[Command] = [EmitEvent(event=event)]
         commands += self._release_plan(row, end, now)
         self.crashes.note(row.request, end, now)
         if end.ok:
@@ -301,7 +301,7 @@
         if self.crashes.refused_s(row.request, now) > 0.0:
             return False
         model = self.topology.models_by_id.get(row.request.model)
-        return model is not None and self._budget(model.pool).spend()
+        return model is not None and self._retry_budget(model.pool).try_withdraw()
 
     def _retry(self, row: OpenRequest, end: AttemptEnd, now: float) -> list[Command]:
         avoid = row.avoid + ((end.failed_engine,) if end.failed_engine else ())
@@ -359,11 +359,11 @@
         refusal = RefuseRequest(
             request_id=request_id, code=code, ran=ran, retry_after_s=retry_after_s
         )
-        return [Emit(event=event), refusal]
+        return [EmitEvent(event=event), refusal]
 
     def _close(self, row: OpenRequest, kind: Kind) -> list[Command]:
         self._forget(row)
-        return [Emit(event=Event(kind=kind, request_id=row.request.id, attempt=row.attempt))]
+        return [EmitEvent(event=Event(kind=kind, request_id=row.request.id, attempt=row.attempt))]
 
     def _forget(self, row: OpenRequest) -> None:
         self.open_by_id.pop(row.request.id, None)
@@ -386,10 +386,10 @@
             return False
         return row.asked_shard == shard
 
-    def _budget(self, pool: str) -> RetryBudget:
-        return self.budgets_by_pool.setdefault(pool, RetryBudget())
+    def _retry_budget(self, pool: str) -> PoolRetryBudget:
+        return self.retry_budget_by_pool.setdefault(pool, PoolRetryBudget())
 
 
 def _ask_interval_s(row: OpenRequest) -> float:
-    is_late_asking = row.asks >= MAX_ASKS_PER_SHARD and row.is_last_shard_for_resume
-    return LAST_SHARD_ASK_INTERVAL_S if is_late_asking else ASK_INTERVAL_S
+    uses_long_interval = row.asks >= MAX_ASKS_PER_SHARD and row.is_last_shard_for_resume
+    return LAST_SHARD_ASK_INTERVAL_S if uses_long_interval else ASK_INTERVAL_S
--- a/src/croftchute/systems/membership.py
+++ b/src/croftchute/systems/membership.py
@@ -84,18 +84,18 @@
 
     def live_ids(self) -> list[str]:
         """Boxes of this hall that answer, leaving ones included, sorted."""
-        return self._ids((BoxState.LIVE, BoxState.LEAVING))
+        return self._hall_ids((BoxState.LIVE, BoxState.LEAVING))
 
     def owner_ids(self) -> list[str]:
         """Boxes of this hall that may own shards; a leaving box gives its shards away."""
-        owners = self._ids((BoxState.LIVE,))
+        owners = self._hall_ids((BoxState.LIVE,))
         return owners or self.live_ids()
 
     def hall_peers(self) -> list[Box]:
         """All other boxes of this hall that are known, silent ones included."""
         return [box for box in self.boxes_by_id.values() if box.hall == self.own.hall]
 
-    def _ids(self, states: tuple[BoxState, ...]) -> list[str]:
+    def _hall_ids(self, states: tuple[BoxState, ...]) -> list[str]:
         own = [self.own.id] if self.own.state in states else []
         others = [box.id for box in self.hall_peers() if box.state in states]
         return sorted(own + others)
--- a/src/croftchute/systems/owner.py
+++ b/src/croftchute/systems/owner.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable, Iterable, Sequence
 from dataclasses import dataclass
 
-from croftchute.commands import Command, Emit, SendPeer
+from croftchute.commands import Command, EmitEvent, SendPeer
 from croftchute.errors import Code
 from croftchute.peers.messages import (
     Announced,
@@ -68,7 +68,7 @@
         self.prefix_index_by_engine: dict[str, PrefixIndex] = {}
         self.forecasts_by_model: dict[str, OutputLengthForecast] = {}
         self._engines_by_shard: dict[str, list[EngineConfig]] = {}
-        self._strangers = Strangers()
+        self._unknown_attempts = Strangers()
         self._next_audit_at = 0.0
 
     def __repr__(self) -> str:
@@ -83,12 +83,12 @@
             del self.taken_at_by_shard[shard_id]
             self.meters_by_shard.pop(shard_id, None)
             self.pressure_by_shard.pop(shard_id, None)
-            commands.append(Emit(event=Event(kind=Kind.SHARD_LOST, detail=shard_id)))
+            commands.append(EmitEvent(event=Event(kind=Kind.SHARD_LOST, detail=shard_id)))
         for shard_id in sorted(set(wanted) - set(self.taken_at_by_shard)):
             self.taken_at_by_shard[shard_id] = now
             self.meters_by_shard[shard_id] = CallerUsageMeter()
             self.pressure_by_shard[shard_id] = Pressure()
-            commands.append(Emit(event=Event(kind=Kind.SHARD_TAKEN, detail=shard_id)))
+            commands.append(EmitEvent(event=Event(kind=Kind.SHARD_TAKEN, detail=shard_id)))
         self._engines_by_shard = {
             shard.id: [topology.engines_by_id[engine] for engine in shard.engine_ids]
             for shard in wanted.values()
@@ -107,7 +107,7 @@
         return list(self.ledger.loads_by_engine)
 
     def reserve(
-        self, sender: str, ask: Reserve, now: float, order: PolicyOrderer | None = None
+        self, sender: str, ask: Reserve, now: float, order_placements: PolicyOrderer | None = None
     ) -> list[Command]:
         """Grant or decline a place; asked again, it answers again without a second grant."""
         held = self.ledger.reservations_by_key.get(f"{ask.request_id}-{ask.attempt}")
@@ -132,11 +132,11 @@
             pressure.record(declined=True)
             return [self._decline(sender, ask, Code.NO_CAPACITY, self._retry_after(ask, now))]
         commands: list[Command] = []
-        if order is not None and model.policy is not None:
-            ordered = order(model.policy, ask, found)
+        if order_placements is not None and model.policy is not None:
+            ordered = order_placements(model.policy, ask, found)
             found = list(ordered.placements)
             if ordered.failure:
-                commands.append(Emit(event=policy_failed_event(ask, ordered.failure)))
+                commands.append(EmitEvent(event=policy_failed_event(ask, ordered.failure)))
         if not found:
             return [self._decline(sender, ask, Code.POLICY_REFUSED, MIN_RETRY_AFTER_S)]
         placement = found[0]
@@ -165,7 +165,7 @@
             upstream=reservation.decode_id,
             detail=f"by {sender}",
         )
-        commands: list[Command] = [Emit(event=event)]
+        commands: list[Command] = [EmitEvent(event=event)]
         if not body.confirmed:
             commands += self._cancel(reservation, now)
         return commands
@@ -232,7 +232,7 @@
     def engine_unreachable(self, engine_id: str, now: float) -> list[Command]:
         """An engine cannot be reached: no new work for a while."""
         self.ledger.mark_unreachable(engine_id, now)
-        return [Emit(event=Event(kind=Kind.UPSTREAM_FAILED, upstream=engine_id))]
+        return [EmitEvent(event=Event(kind=Kind.UPSTREAM_FAILED, upstream=engine_id))]
 
     def tick(self, now: float) -> list[Command]:
         """Ask entry boxes about old reservations and drop those past their deadline."""
@@ -349,7 +349,7 @@
             upstream=placement.decode_id,
             detail=f"prefill {placement.prefill_id} predicted {wait:.3f}s",
         )
-        return [Emit(event=event), SendPeer(box=sender, body=build_granted(reservation))]
+        return [EmitEvent(event=event), SendPeer(box=sender, body=build_granted(reservation))]
 
     def _decline(self, sender: str, ask: Reserve, code: Code, retry_after_s: float) -> Command:
         body = Declined(
@@ -385,7 +385,7 @@
             upstream=reservation.decode_id,
             detail=reason,
         )
-        return [Emit(event=event), *self._cancel(reservation, now)]
+        return [EmitEvent(event=event), *self._cancel(reservation, now)]
 
     def _cancel(self, reservation: Reservation, now: float) -> list[Command]:
         commands = self.cancels.start(reservation.prefill_id, reservation.key, now)
@@ -399,8 +399,8 @@
         """Cancel work that nobody answers for."""
         commands: list[Command] = []
         held = self.ledger.reservations_by_key
-        for key in self._strangers.overdue(engine_id, report, held, now):
+        for key in self._unknown_attempts.overdue(engine_id, report, held, now):
             event = Event(kind=Kind.ORPHAN_FOUND, upstream=engine_id, detail=key)
-            commands.append(Emit(event=event))
+            commands.append(EmitEvent(event=event))
             commands += self.cancels.start(engine_id, key, now)
         return commands
--- /dev/null
+++ b/src/croftchute/systems/pool_retry_budget.py
@@ -0,0 +1,33 @@
+"""A retry budget: retries may be at most a share of requests, so that outages do not grow."""
+
+from __future__ import annotations
+
+RETRIES_PER_REQUEST = 0.1
+MAX_SAVED_RETRIES = 20.0
+
+
+class PoolRetryBudget:
+    """Earns a share of a retry with each request, spends one with each retry."""
+
+    def __init__(
+        self,
+        *,
+        retries_per_request: float = RETRIES_PER_REQUEST,
+        saved_retries: float = MAX_SAVED_RETRIES,
+    ) -> None:
+        self.retries_per_request = retries_per_request
+        self.saved_retries = saved_retries
+
+    def __repr__(self) -> str:
+        return f"PoolRetryBudget(saved={self.saved_retries:.1f})"
+
+    def deposit(self) -> None:
+        """Count a new request."""
+        self.saved_retries = min(MAX_SAVED_RETRIES, self.saved_retries + self.retries_per_request)
+
+    def try_withdraw(self) -> bool:
+        """Take one retry out of the budget, if there is one."""
+        if self.saved_retries < 1.0:
+            return False
+        self.saved_retries -= 1.0
+        return True
--- a/tests/policies/test_runner.py
+++ b/tests/policies/test_runner.py
@@ -13,7 +13,7 @@
 from croftchute.systems.placement import Placement
 
 DAKAR = parse_document((Path(__file__).parents[2] / "examples" / "dakar.json").read_bytes())
-HEAD = "def order(request, candidates):\n"
+POLICY_HEADER = "def order(request, candidates):\n"
 
 
 def placement(decode, first_token_at=1.0):
@@ -29,52 +29,54 @@
     )
 
 
-CHOICES = [placement("d1"), placement("d2", 1.5)]
+PLACEMENTS = [placement("d1"), placement("d2", 1.5)]
 
 
-def runner(source, times=None):
+def make_runner(source, times=None):
     clock = iter(times) if times else iter([0.0] * 1000)
     made = PolicyRunner(clock=lambda: next(clock))
-    made.load(replace(DAKAR, policies=[PolicySpec(id="x", source=HEAD + source)]))
+    made.load(replace(DAKAR, policies=[PolicySpec(id="x", source=POLICY_HEADER + source)]))
     return made
 
 
-def decodes(ordered):
+def decode_ids(ordered):
     return [choice.decode_id for choice in ordered.placements]
 
 
 def test_a_policy_orders_and_filters():
-    later = runner("  return [c['id'] for c in candidates if c['later_s'] > 0.1]\n")
-    ordered = later.order("x", reserve_body(), CHOICES)
-    assert (decodes(ordered), ordered.failure) == (["d2"], "")
+    later = make_runner("  return [c['id'] for c in candidates if c['later_s'] > 0.1]\n")
+    ordered = later.order_placements("x", reserve_body(), PLACEMENTS)
+    assert (decode_ids(ordered), ordered.failure) == (["d2"], "")
 
 
 def test_a_policy_sees_the_request():
-    choosy = runner("  return [c['id'] for c in candidates] if request['priority'] > 8 else []\n")
-    assert decodes(choosy.order("x", reserve_body(), CHOICES)) == []
+    choosy = make_runner(
+        "  return [c['id'] for c in candidates] if request['priority'] > 8 else []\n"
+    )
+    assert decode_ids(choosy.order_placements("x", reserve_body(), PLACEMENTS)) == []
 
 
 def test_a_policy_that_fails_keeps_the_order_and_rests_after_a_while():
-    broken = runner("  return candidates[7]\n")
+    broken = make_runner("  return candidates[7]\n")
     for n in range(MAX_CONSECUTIVE_FAILURES):
-        ordered = broken.order("x", reserve_body(), CHOICES)
-        assert decodes(ordered) == ["d1", "d2"], n
+        ordered = broken.order_placements("x", reserve_body(), PLACEMENTS)
+        assert decode_ids(ordered) == ["d1", "d2"], n
         assert "x" in ordered.failure
-    assert broken.order("x", reserve_body(), CHOICES).failure == "x: resting"
+    assert broken.order_placements("x", reserve_body(), PLACEMENTS).failure == "x: resting"
 
 
 def test_a_policy_that_overruns_keeps_the_order():
-    slow = runner("  return ['p>d2']\n", [0.0, 2 * MAX_RUN_S, 1.0, 1.0])
-    first = slow.order("x", reserve_body(), CHOICES)
-    assert decodes(first) == ["d1", "d2"]
+    slow = make_runner("  return ['p>d2']\n", [0.0, 2 * MAX_RUN_S, 1.0, 1.0])
+    first = slow.order_placements("x", reserve_body(), PLACEMENTS)
+    assert decode_ids(first) == ["d1", "d2"]
     assert "overran" in first.failure
-    assert decodes(slow.order("x", reserve_body(), CHOICES)) == ["d2"]
+    assert decode_ids(slow.order_placements("x", reserve_body(), PLACEMENTS)) == ["d2"]
 
 
 def test_rest_ends():
     # Each call reads the clock once, the one that begins the rest a second time.
     times = [0.0] * (MAX_CONSECUTIVE_FAILURES + 1) + [SUSPENSION_S + 1.0] * 9
-    broken = runner("  return candidates[7]\n", times)
+    broken = make_runner("  return candidates[7]\n", times)
     for _ in range(MAX_CONSECUTIVE_FAILURES):
-        broken.order("x", reserve_body(), CHOICES)
-    assert broken.order("x", reserve_body(), CHOICES).failure != "x: resting"
+        broken.order_placements("x", reserve_body(), PLACEMENTS)
+    assert broken.order_placements("x", reserve_body(), PLACEMENTS).failure != "x: resting"
--- a/tests/systems/test_box.py
+++ b/tests/systems/test_box.py
@@ -8,11 +8,11 @@
 
 HALL = "halle-a"
 NAMES = ["b0", "b1", "b2"]
-OWN = assign_evenly(["pool/0"], NAMES)["pool/0"]
-OTHER, THIRD = [name for name in NAMES if name != OWN]
+OWNER = assign_evenly(["pool/0"], NAMES)["pool/0"]
+OTHER, THIRD = [name for name in NAMES if name != OWNER]
 
 
-def box(name, incarnation=1):
+def make_box(name, incarnation=1):
     return Box(
         id=name,
         hall=HALL,
@@ -24,56 +24,56 @@
     )
 
 
-def beat(incarnation=1, **changes):
+def heartbeat(incarnation=1, **changes):
     values = {"incarnation": incarnation, "revision": 1, "map_version": 0, "leaving": False}
     values |= {"hall": HALL, "address": "10.0.0.2", "peer_port": 3, "admin_port": 4}
     return Heartbeat(**(values | changes))
 
 
-def make(name=OWN, peers=()):
-    made = BoxSystems(own=box(name), heartbeat_s=1.0, suspect_after_s=3.0, poll_s=1.0, seed=1)
-    made.add_boxes([box(peer) for peer in peers])
+def make_systems(name=OWNER, peers=()):
+    made = BoxSystems(own=make_box(name), heartbeat_s=1.0, suspect_after_s=3.0, poll_s=1.0, seed=1)
+    made.add_boxes([make_box(peer) for peer in peers])
     made.apply_config(OBERBAYERN.document(shard_engines=8), 1, 0.0)
     return made
 
 
-def cancels(commands):
+def cancel_commands(commands):
     return [command for command in commands if isinstance(command, CancelAttempt)]
 
 
 def test_a_box_not_yet_heard_is_not_taken_for_dead():
     """A box that had just started cancelled the work of all boxes it had not heard yet."""
-    made = make(peers=(OTHER, THIRD))
+    made = make_systems(peers=(OTHER, THIRD))
     made.receive(OTHER, reserve_body("r"), 0.1)
-    commands = made.receive(THIRD, beat(), 0.2) + made.tick(0.3)
-    assert not cancels(commands)
+    commands = made.receive(THIRD, heartbeat(), 0.2) + made.tick(0.3)
+    assert not cancel_commands(commands)
     assert list(made.owner.ledger.reservations_by_key) == ["r-1"]
 
 
 def test_a_box_that_falls_silent_has_its_work_cancelled():
-    made = make()
-    made.receive(OTHER, beat(), 0.1)
+    made = make_systems()
+    made.receive(OTHER, heartbeat(), 0.1)
     made.receive(OTHER, reserve_body("r"), 0.2)
-    assert cancels(made.tick(5.0))
+    assert cancel_commands(made.tick(5.0))
 
 
 def test_a_restarted_box_has_its_earlier_work_cancelled():
-    made = make(peers=(OTHER,))
+    made = make_systems(peers=(OTHER,))
     made.receive(OTHER, reserve_body("r"), 0.1)
-    made.receive(OTHER, beat(incarnation=5), 0.2)
-    commands = made.receive(OTHER, beat(incarnation=6), 0.3)
-    assert cancels(commands)
+    made.receive(OTHER, heartbeat(incarnation=5), 0.2)
+    commands = made.receive(OTHER, heartbeat(incarnation=6), 0.3)
+    assert cancel_commands(commands)
 
 
 def test_an_older_incarnation_changes_nothing():
-    made = make()
-    made.receive(OTHER, beat(incarnation=6), 0.1)
-    made.receive(OTHER, beat(incarnation=5, leaving=True), 0.2)
+    made = make_systems()
+    made.receive(OTHER, heartbeat(incarnation=6), 0.1)
+    made.receive(OTHER, heartbeat(incarnation=5, leaving=True), 0.2)
     assert made.membership.boxes_by_id[OTHER].state is BoxState.LIVE
 
 
 def test_a_configuration_never_goes_back():
-    made = make()
+    made = make_systems()
     document = OBERBAYERN.document(shard_engines=8)
     assert made.apply_config(document, 7, 1.0)
     assert made.apply_config(document, 6, 1.1) == []
--- a/tests/systems/test_crash_guard.py
+++ b/tests/systems/test_crash_guard.py
@@ -1,6 +1,6 @@
 """Requests that end engines, at the entry of a box and from box to box."""
 
-from test_box import make
+from test_box import make_systems
 from test_entry import end, make_entry, request, sent, start
 
 from croftchute.commands import RefuseRequest, SendPeer
@@ -104,11 +104,11 @@
 
 
 def test_news_goes_to_the_boxes_that_hear_this_one():
-    systems = make(peers=("b1", "b2"))
+    systems = make_systems(peers=("b1", "b2"))
     lose(systems.entry, "e1", "e2", "e3")
     commands = systems._send_crash_news(100.0)
     told = [c for c in commands if isinstance(c, SendPeer) and isinstance(c.body, CrashNews)]
     assert told and all(len(command.body.notices) <= 64 for command in told)
-    other = make("b1" if systems.own.id != "b1" else "b2", peers=(systems.own.id,))
+    other = make_systems("b1" if systems.own.id != "b1" else "b2", peers=(systems.own.id,))
     other.receive(systems.own.id, told[0].body, 100.1)
     assert other.entry.crashes.refused_s(request("r", digest=DIGEST), 100.1) > 0.0
--- a/tests/systems/test_entry.py
+++ b/tests/systems/test_entry.py
@@ -37,7 +37,7 @@
     return [c for c in commands if isinstance(c, SendPeer) and isinstance(c.body, kind)]
 
 
-def of(commands, kind):
+def commands_of(commands, kind):
     return [c for c in commands if isinstance(c, kind)]
 
 
@@ -88,13 +88,13 @@
     start(entry)
     commands = [(1.0, command) for command in entry.attempt_ended(end(), 1.0)]
     commands += tick_until(entry, 1.0, 29.9)
-    assert not of([c for _, c in commands], RefuseRequest)
+    assert not commands_of([c for _, c in commands], RefuseRequest)
     asks = [(at, c) for at, c in commands if sent([c], Reserve)]
     last_second = [at for at, _ in asks if at > 28.0]
     assert 1 <= len(last_second) <= 8
     assert len(asks) < 100
     late = asks[-1][1]
-    assert of(entry.reservation_granted(late.box, grant(late.body), 29.9), StartAttempt)
+    assert commands_of(entry.reservation_granted(late.box, grant(late.body), 29.9), StartAttempt)
 
 
 def decline(asked, code=Code.NO_CAPACITY):
@@ -103,7 +103,7 @@
     )
 
 
-def declined_until_refused(entry, code=Code.NO_CAPACITY):
+def decline_until_refused(entry, code=Code.NO_CAPACITY):
     """Decline all askings of a begun answer; the time of its refusal, and all askings."""
     start(entry)
     now = 1.0
@@ -112,7 +112,7 @@
     while now < 20.0:
         while commands:
             command = commands.pop(0)
-            if of([command], RefuseRequest):
+            if commands_of([command], RefuseRequest):
                 return now, asks
             if sent([command], Reserve):
                 asks.append(command.body)
@@ -124,7 +124,7 @@
 
 def test_a_begun_answer_that_no_owner_has_a_place_for_waits_two_seconds():
     entry = make_entry()
-    refused_at, asks = declined_until_refused(entry)
+    refused_at, asks = decline_until_refused(entry)
     assert 2.9 < refused_at < 3.6
     assert asks[0].avoid == ("hall-1-decode-0",)
     assert asks[-1].avoid == ()
@@ -132,7 +132,7 @@
 
 
 def test_a_begun_answer_is_given_up_at_once_where_waiting_cannot_help():
-    refused_at, _ = declined_until_refused(make_entry(), Code.POLICY_REFUSED)
+    refused_at, _ = decline_until_refused(make_entry(), Code.POLICY_REFUSED)
     assert refused_at == 1.0
 
 
@@ -140,7 +140,7 @@
     entry = make_entry()
     start(entry)
     entry.attempt_ended(end(), 1.0)
-    (refused,) = of([c for _, c in tick_until(entry, 1.0, 31.0)], RefuseRequest)
+    (refused,) = commands_of([c for _, c in tick_until(entry, 1.0, 31.0)], RefuseRequest)
     assert (refused.code, refused.ran) == (Code.DEADLINE_PASSED, Ran.RAN)
     assert not entry.open_by_id
 
@@ -149,7 +149,7 @@
     entry = make_entry()
     entry.request_received(request(), 0.0)
     found = tick_until(entry, 0.0, 3.0)
-    (refused,) = of([c for _, c in found], RefuseRequest)
+    (refused,) = commands_of([c for _, c in found], RefuseRequest)
     assert (refused.code, refused.ran) == (Code.OWNER_SILENT, Ran.NOT_RUN)
 
 
@@ -160,13 +160,13 @@
     entry.tick(ASK_INTERVAL_S * 2.3)
     commands = entry.reservation_granted(first.box, grant(first.body), 0.2)
     assert sent(commands, Released)
-    assert not of(commands, StartAttempt)
+    assert not commands_of(commands, StartAttempt)
 
 
 def test_a_repeated_grant_starts_nothing_twice():
     entry = make_entry()
     asked, commands = start(entry)
-    assert len(of(commands, StartAttempt)) == 1
+    assert len(commands_of(commands, StartAttempt)) == 1
     assert entry.reservation_granted("x", grant(asked), 0.02) == []
 
 
@@ -179,7 +179,7 @@
             request_id="r", attempt=1, shard=asked.shard, code=Code.NO_CAPACITY, retry_after_s=2.0
         )
         commands = entry.reservation_declined(body, 0.01)
-    (refused,) = of(commands, RefuseRequest)
+    (refused,) = commands_of(commands, RefuseRequest)
     assert (refused.code, refused.ran) == (Code.NO_CAPACITY, Ran.NOT_RUN)
     assert refused.retry_after_s == 2.0
     assert not entry.open_by_id
@@ -206,7 +206,7 @@
     for n in range(40):
         start(entry, f"r{n}")
         commands = entry.attempt_ended(end(request_id=f"r{n}"), 1.0)
-        refusals += of(commands, RefuseRequest)
+        refusals += commands_of(commands, RefuseRequest)
     assert 0 < len(refusals) < 40
     assert {refusal.ran for refusal in refusals} == {Ran.RAN}
 
@@ -215,7 +215,7 @@
     entry = make_entry()
     start(entry)
     commands = entry.caller_left("r", 1.0)
-    assert {c.engine_id for c in of(commands, CancelAttempt)} == {
+    assert {c.engine_id for c in commands_of(commands, CancelAttempt)} == {
         "hall-1-prefill-0",
         "hall-1-decode-0",
     }
@@ -235,5 +235,5 @@
 def test_without_configuration_nothing_is_run():
     entry = make_entry()
     entry.topology = build_topology(HALL_AT_TARGET.document(shard_engines=8), revision=0, hall="x")
-    (refused,) = of(entry.request_received(request(model="nope"), 0.0), RefuseRequest)
+    (refused,) = commands_of(entry.request_received(request(model="nope"), 0.0), RefuseRequest)
     assert (refused.code, refused.ran) == (Code.NO_CONFIG, Ran.NOT_RUN)
--- a/tests/systems/test_membership.py
+++ b/tests/systems/test_membership.py
@@ -28,7 +28,7 @@
     membership.heartbeat_received(sender, heartbeat, now)
 
 
-def look_until(membership, begin, end, step=0.1):
+def suspicions_until(membership, begin, end, step=0.1):
     found = []
     for n in range(int((end - begin) / step) + 1):
         found += [(begin + n * step, box) for box in membership.suspect_silent(begin + n * step)]
@@ -37,7 +37,7 @@
 
 def test_a_silent_box_is_suspected_after_its_time():
     membership = make_membership()
-    ((when, box),) = look_until(membership, 0.0, 3.0)
+    ((when, box),) = suspicions_until(membership, 0.0, 3.0)
     assert box == "other"
     assert SUSPECT_AFTER_S < when < SUSPECT_AFTER_S + 0.2
 
@@ -48,11 +48,11 @@
     membership.suspect_silent(0.1)
     assert membership.suspect_silent(2.6) == []
     beat(membership, 2.7)
-    assert look_until(membership, 2.7, 3.5) == []
+    assert suspicions_until(membership, 2.7, 3.5) == []
 
 
 def test_a_box_that_died_meanwhile_is_suspected_in_the_whole_time_after_a_pause():
     membership = make_membership()
     membership.suspect_silent(0.1)
-    ((when, _),) = look_until(membership, 2.6, 6.0)
+    ((when, _),) = suspicions_until(membership, 2.6, 6.0)
     assert 2.6 + SUSPECT_AFTER_S < when < 2.8 + SUSPECT_AFTER_S
--- a/tests/systems/test_owner.py
+++ b/tests/systems/test_owner.py
@@ -26,7 +26,7 @@
 SHARD = "pool/0"
 
 
-def ask(name, **changes):
+def reserve_message(name, **changes):
     values = {
         "request_id": name,
         "attempt": 1,
@@ -60,46 +60,48 @@
     return sent
 
 
-def cancelled(commands):
+def cancelled_attempts(commands):
     return {(c.engine_id, c.key) for c in commands if isinstance(c, CancelAttempt)}
 
 
-def release(name, **changes):
+def release_message(name, **changes):
     values = {"request_id": name, "attempt": 1, "shard": SHARD, "output_tokens": 5}
     return Released(**(values | {"confirmed": True} | changes))
 
 
 def test_asking_twice_grants_once(owner):
-    first = body_of(owner.reserve("e", ask("r"), 1.0))
-    again = body_of(owner.reserve("e", ask("r"), 1.1))
+    first = body_of(owner.reserve("e", reserve_message("r"), 1.0))
+    again = body_of(owner.reserve("e", reserve_message("r"), 1.1))
     assert isinstance(first, Granted)
     assert first == again
     assert len(owner.ledger.reservations_by_key) == 1
 
 
 def test_a_shard_that_is_not_owned_is_declined(owner):
-    declined = body_of(owner.reserve("e", ask("r", shard="pool/7"), 1.0))
+    declined = body_of(owner.reserve("e", reserve_message("r", shard="pool/7"), 1.0))
     assert declined.code is Code.NOT_OWNER
 
 
 def test_an_engine_to_avoid_and_a_failed_engine_get_nothing(owner):
-    owner.reserve("e", ask("r"), 1.0)
+    owner.reserve("e", reserve_message("r"), 1.0)
     first = owner.ledger.reservations_by_key["r-1"].decode_id
-    owner.release("e", release("r", failed_engine=first, confirmed=False), 1.0)
-    owner.reserve("e", ask("r", attempt=2), 1.1)
+    owner.release("e", release_message("r", failed_engine=first, confirmed=False), 1.0)
+    owner.reserve("e", reserve_message("r", attempt=2), 1.1)
     second = owner.ledger.reservations_by_key["r-2"].decode_id
     assert second != first
-    owner.reserve("e", ask("s", avoid=(second,)), 1.1)
+    owner.reserve("e", reserve_message("s", avoid=(second,)), 1.1)
     # The first engine has just failed; the second is to be avoided, but better than none.
     assert owner.ledger.reservations_by_key["s-1"].decode_id == second
-    owner.reserve("e", ask("t", avoid=(second,)), 3.0)
+    owner.reserve("e", reserve_message("t", avoid=(second,)), 3.0)
     assert owner.ledger.reservations_by_key["t-1"].decode_id == first
 
 
 def test_memory_is_never_promised_twice(owner):
     granted = 0
     for n in range(200):
-        granted += isinstance(body_of(owner.reserve("e", ask(f"r{n}"), n * 1.0)), Granted)
+        granted += isinstance(
+            body_of(owner.reserve("e", reserve_message(f"r{n}"), n * 1.0)), Granted
+        )
     engines = owner.topology.engines_by_id
     for load in owner.ledger.loads_by_engine.values():
         assert load.running <= engines[load.id].slots
@@ -108,16 +110,16 @@
 
 
 def test_a_box_that_is_gone_leaves_nothing_behind(owner):
-    owner.reserve("e", ask("r"), 1.0)
+    owner.reserve("e", reserve_message("r"), 1.0)
     held = owner.ledger.reservations_by_key["r-1"]
     commands = owner.entry_box_gone("e", 2.0)
-    assert cancelled(commands) == {(held.prefill_id, "r-1"), (held.decode_id, "r-1")}
+    assert cancelled_attempts(commands) == {(held.prefill_id, "r-1"), (held.decode_id, "r-1")}
     assert not owner.ledger.reservations_by_key
 
 
 def test_an_audit_frees_what_the_entry_box_has_closed(owner):
-    owner.reserve("e", ask("r"), 1.0)
-    owner.reserve("e", ask("s"), 1.0)
+    owner.reserve("e", reserve_message("r"), 1.0)
+    owner.reserve("e", reserve_message("s"), 1.0)
     audit = body_of(owner.tick(20.0))
     assert audit == Audit(shard=SHARD, keys=("r-1", "s-1"))
     owner.audit_answered(Audited(shard=SHARD, asked=audit.keys, open=("s-1",)), 20.0)
@@ -129,9 +131,9 @@
         as_of=5.0, running=1, kv_used_tokens=9, prefill_backlog_tokens=0, request_ids=("x-1",)
     )
     engine = owner.engine_ids()[0]
-    assert not cancelled(owner.engine_reported(engine, report, (), 5.0))
+    assert not cancelled_attempts(owner.engine_reported(engine, report, (), 5.0))
     late = changed(report, as_of=5.1 + GRACE_S)
-    assert cancelled(owner.engine_reported(engine, late, (), 8.0)) == {(engine, "x-1")}
+    assert cancelled_attempts(owner.engine_reported(engine, late, (), 8.0)) == {(engine, "x-1")}
 
 
 def test_an_announced_attempt_is_no_orphan(owner):
@@ -153,12 +155,12 @@
         report = EngineReport(
             as_of=at, running=1, kv_used_tokens=9, prefill_backlog_tokens=0, request_ids=("x-1",)
         )
-        assert not cancelled(owner.engine_reported(engine, report, (), at))
+        assert not cancelled_attempts(owner.engine_reported(engine, report, (), at))
 
 
 def test_a_report_counts_only_the_grants_it_could_not_see(owner):
     engine = next(f for f in owner.topology.engines_by_id.values() if f.prefills)
-    owner.reserve("e", ask("r", prompt_tokens=1200), 10.0)
+    owner.reserve("e", reserve_message("r", prompt_tokens=1200), 10.0)
     cost = 1200 / engine.prefill_tokens_per_s
     report = EngineReport(as_of=9.9, running=0, kv_used_tokens=0, prefill_backlog_tokens=0)
     owner.engine_reported(engine.id, report, (), 10.01)
@@ -173,9 +175,9 @@
     owner = make_owner()
     for now, (number, adds, tokens) in enumerate(steps):
         if adds:
-            owner.reserve("e", ask(f"r{number}", prompt_tokens=tokens), float(now))
+            owner.reserve("e", reserve_message(f"r{number}", prompt_tokens=tokens), float(now))
         else:
-            owner.release("e", release(f"r{number}"), float(now))
+            owner.release("e", release_message(f"r{number}"), float(now))
         held = owner.ledger.reservations_by_key.values()
         for load in owner.ledger.loads_by_engine.values():
             own = [r for r in held if r.decode_id == load.id]
@@ -184,12 +186,14 @@
 
 
 def test_an_engine_that_asked_for_rest_gets_nothing_until_it_is_over(owner):
-    granted = body_of(owner.reserve("e", ask("r"), 1.0))
+    granted = body_of(owner.reserve("e", reserve_message("r"), 1.0))
     names = owner.topology.engine_ids_by_hash
     prefill, decode = names[granted.prefill_hash], names[granted.decode_hash]
-    owner.release("e", release("r", confirmed=False, failed_engine=decode, rest_s=30.0), 2.0)
+    owner.release(
+        "e", release_message("r", confirmed=False, failed_engine=decode, rest_s=30.0), 2.0
+    )
     for n in range(3):
-        later = body_of(owner.reserve("e", ask(f"r{n}"), 20.0))
+        later = body_of(owner.reserve("e", reserve_message(f"r{n}"), 20.0))
         assert isinstance(later, Granted)
         assert decode not in (names[later.prefill_hash], names[later.decode_hash])
     assert not owner.ledger.loads_by_engine[decode].accepts_work(31.9)
@@ -201,5 +205,5 @@
     engines = owner.topology.shards_by_id[SHARD].engine_ids
     for n, engine in enumerate(engines):
         owner.ledger.back_off(engine, 30.0 + n, 1.0)
-    declined = body_of(owner.reserve("e", ask("r"), 11.0))
+    declined = body_of(owner.reserve("e", reserve_message("r"), 11.0))
     assert declined.retry_after_s == 20.0
--- a/tests/systems/test_prefix_index.py
+++ b/tests/systems/test_prefix_index.py
@@ -15,7 +15,7 @@
 )
 
 
-class NaiveIndex:
+class ReferenceIndex:
     """Marks every entry doubtful one by one at a gap, with no bound and no eras."""
 
     def __init__(self):
@@ -44,14 +44,14 @@
 
 @given(EVENTS, st.lists(BLOCKS, max_size=6))
 def test_the_index_says_the_same_as_a_naive_one(steps, prefix):
-    index, naive = PrefixIndex(), NaiveIndex()
+    index, reference = PrefixIndex(), ReferenceIndex()
     seq = 5
     for step, stored, evicted in steps:
         seq += step - 1
         event = CacheEvent(seq=max(0, seq), stored=tuple(stored), evicted=tuple(evicted))
         index.apply(event)
-        naive.apply(event)
-        assert index.cached_tokens(prefix) == naive.cached_tokens(prefix)
+        reference.apply(event)
+        assert index.cached_tokens(prefix) == reference.cached_tokens(prefix)
 
 
 def test_the_index_is_bounded():
--- a/tests/systems/test_sharding.py
+++ b/tests/systems/test_sharding.py
@@ -26,8 +26,8 @@
     boxes = [f"b{n}" for n in range(72)]
     before = assign_evenly(SHARDS, boxes)
     moved = []
-    for gone in boxes:
-        after = assign_evenly(SHARDS, [box for box in boxes if box != gone])
+    for removed in boxes:
+        after = assign_evenly(SHARDS, [box for box in boxes if box != removed])
         moved.append(sum(before[s] != after[s] for s in SHARDS))
     # An even move would be 58 / 72 of a shard; the bound on shares adds a little.
     assert sum(moved) / len(moved) <= 3
