--- a/src/croftchute/daemon/admin.py
+++ b/src/croftchute/daemon/admin.py
@@ -21,7 +21,7 @@
 MAX_SHARED_READERS = 2
 """Answers of shared state under way at once: half of the admin port's threads, so that readiness is
 answered while slow peers read. A peer that is refused asks again, or another box, after 0.3 s
-(FETCH_RETRY_S of systems.box)."""
+(FETCH_INTERVAL_S of systems.box)."""
 
 
 class AdminBox(Protocol):
