--- a/src/croftchute/systems/__init__.py
+++ b/src/croftchute/systems/__init__.py
@@ -1,1 +1,1 @@
-"""The decisions: pure code that reads tables and returns typed commands."""
+"""Decision logic: code without I/O that reads tables and returns typed commands."""
--- a/src/croftchute/systems/admission.py
+++ b/src/croftchute/systems/admission.py
@@ -1,8 +1,9 @@
-"""Admission: the longest queueing that a request may be granted under load.
+"""Admission control: the longest time that a request may queue under load.
 
-Higher priorities may fill the queue further than lower ones, and callers within their share
-further than those above it, so under overload the refused are the least important work of the
-heaviest callers. The limit is on predicted time, so an idle shard refuses nobody.
+A higher priority may use more of the target than a lower one, and a caller within its fair
+share more than a caller above it. Under overload the router therefore refuses low-priority
+requests of the heaviest callers first. The limit applies to the predicted time in the queue, so
+an idle shard refuses nobody.
 """
 
 from __future__ import annotations
@@ -16,7 +17,7 @@
 
 
 def priority_share(priority: int) -> float:
-    """The share of the target that a priority may use up.
+    """Return the share of the target that a request of this priority may use.
 
     >>> priority_share(9)
     1.0
@@ -26,7 +27,9 @@
 
 
 def fairness_share(excess: float) -> float:
-    """The share of the target that a caller may use up, given its use over its fair share.
+    """Return the share of the target that a caller may use.
+
+    ``excess`` is the caller's use divided by its fair share.
 
     >>> fairness_share(1.0), fairness_share(4.0)
     (1.0, 0.5)
@@ -45,11 +48,12 @@
     pressure: float,
     waste_aversion: float,
 ) -> float:
-    """Seconds a request may queue, given what its own work takes; negative if it is too long.
+    """Return how many seconds a request may queue; negative if its own work takes too long.
 
-    The shares cut only the time left for queueing, and only as far as the shard is short of
-    capacity (``pressure``, 0 to 1), so an idle shard refuses nobody who can meet the target,
-    however much they have used.
+    ``service_s`` is the time that the request's own work takes. Priority and fairness reduce
+    only the time left for queueing, and only in proportion to the shard's lack of capacity
+    (``pressure``, 0 to 1). An idle shard thus refuses no request that can meet the target,
+    however much its caller has used.
     """
     margin = USABLE_TARGET_SHARE - WASTE_AVERSION_MARGIN * waste_aversion
     available_s = ttft_s * margin - service_s
--- a/src/croftchute/systems/cancels.py
+++ b/src/croftchute/systems/cancels.py
@@ -1,4 +1,4 @@
-"""Cancels on engines, repeated until the engine confirms or is gone."""
+"""Cancellation of attempts on engines, resent until the engine confirms it or is given up."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class PendingCancel:
-    """A cancel that has not been confirmed."""
+    """A cancellation that the engine has not confirmed."""
 
     engine_id: str
     key: str
@@ -24,13 +24,13 @@
 
 
 class CancelTracker:
-    """Cancels under way, by engine and attempt."""
+    """Unconfirmed cancellations by engine and attempt, resent with exponential backoff."""
 
     def __init__(self) -> None:
         self.pending_by_target: dict[tuple[str, str], PendingCancel] = {}
 
     def start(self, engine_id: str, key: str, now: float) -> list[Command]:
-        """Begin to cancel an attempt at an engine; a cancel under way is left alone."""
+        """Start to cancel an attempt at an engine; does nothing if that is already pending."""
         target = (engine_id, key)
         if not engine_id or target in self.pending_by_target:
             return []
@@ -40,14 +40,14 @@
         return self.tick(now)
 
     def confirm(self, engine_id: str, key: str) -> list[Command]:
-        """The engine holds nothing for the attempt any more."""
+        """Stop resending: the engine has confirmed that it holds nothing for the attempt."""
         if self.pending_by_target.pop((engine_id, key), None) is None:
             return []
         event = Event(kind=Kind.CANCEL_CONFIRMED, upstream=engine_id, request_id=key)
         return [EmitEvent(event=event)]
 
     def tick(self, now: float) -> list[Command]:
-        """Send the cancels that are due."""
+        """Send the cancellations that are due; drop those past ``CANCEL_TIMEOUT_S``."""
         commands: list[Command] = []
         for target, cancel in list(self.pending_by_target.items()):
             if now - cancel.started_at > CANCEL_TIMEOUT_S:
--- a/src/croftchute/systems/fairness.py
+++ b/src/croftchute/systems/fairness.py
@@ -1,4 +1,7 @@
-"""Weighted shares among callers: O(1) state for each active caller, dropped when idle."""
+"""Weighted fair shares among callers, with O(1) state for each active caller.
+
+State of idle callers is dropped.
+"""
 
 from __future__ import annotations
 
@@ -11,7 +14,7 @@
 
 
 class CallerUsageMeter:
-    """Decayed use by caller, in tokens; one meter for each shard an owner holds."""
+    """Exponentially decayed use by caller, in tokens; a shard's owner keeps one per shard."""
 
     def __init__(self) -> None:
         self._use_by_caller: dict[str, tuple[float, float]] = {}
@@ -23,7 +26,7 @@
         return len(self._use_by_caller)
 
     def charge(self, caller: str, tokens: float, *, weight: float, now: float) -> None:
-        """Add use to a caller."""
+        """Add ``tokens`` to a caller's use."""
         if caller not in self._use_by_caller:
             if len(self._use_by_caller) >= MAX_METERED_CALLERS:
                 self.sweep(now)
@@ -33,7 +36,7 @@
         self._total_at = now
 
     def use(self, caller: str, now: float) -> float:
-        """A caller's decayed use for each unit of its weight."""
+        """Return a caller's decayed use, divided by its weight."""
         entry = self._use_by_caller.get(caller)
         if entry is None:
             return 0.0
@@ -41,7 +44,7 @@
         return amount * exp(-DECAY_PER_S * max(0.0, now - at))
 
     def excess(self, caller: str, now: float) -> float:
-        """How many times its fair share a caller uses; 1 means exactly its share."""
+        """Return a caller's use divided by its fair share; 1 means exactly its share."""
         if self._total <= 0.0 or self._weights <= 0.0:
             return 0.0
         total = self._total * exp(-DECAY_PER_S * max(0.0, now - self._total_at))
@@ -49,7 +52,7 @@
         return self.use(caller, now) / fair if fair > 0 else 0.0
 
     def sweep(self, now: float) -> None:
-        """Drop the callers whose use has decayed away."""
+        """Drop the callers whose use has decayed below ``MIN_KEPT_USE``."""
         kept = {
             caller: entry
             for caller, entry in self._use_by_caller.items()
--- a/src/croftchute/systems/ledger.py
+++ b/src/croftchute/systems/ledger.py
@@ -1,4 +1,4 @@
-"""What an owner has committed on its engines: reservations, and the sums kept over them."""
+"""Reservations that an owner has granted on its engines, and their sums by engine."""
 
 from __future__ import annotations
 
@@ -18,7 +18,10 @@
 
 
 class Ledger:
-    """Reservations by attempt and engine loads by engine; the sums always match the rows."""
+    """Reservations by attempt, and loads by engine.
+
+    The sums in the loads always match the reservations.
+    """
 
     def __init__(self) -> None:
         self.loads_by_engine: dict[str, EngineLoad] = {}
@@ -31,7 +34,7 @@
         return f"Ledger(engines={engines}, reservations={held})"
 
     def set_engines(self, engines: Iterable[EngineConfig]) -> None:
-        """Keep exactly these engines; reservations on others are dropped."""
+        """Track exactly these engines, and drop reservations that use none of them."""
         wanted = {engine.id: engine for engine in engines}
         for reservation in list(self.reservations_by_key.values()):
             ends = (reservation.prefill_id, reservation.decode_id)
@@ -46,7 +49,7 @@
         }
 
     def add(self, reservation: Reservation, placement: Placement | None, now: float) -> None:
-        """Write down a reservation; ``placement`` is None for one taken over from another."""
+        """Record a reservation; ``placement`` is None if an earlier owner granted it."""
         self.reservations_by_key[reservation.key] = reservation
         self.keys_by_entry.setdefault(reservation.entry_box, set()).add(reservation.key)
         self._adjust_decode_load(reservation, sign=1)
@@ -66,7 +69,7 @@
             )
 
     def remove(self, key: str) -> Reservation | None:
-        """Give back all that a reservation holds."""
+        """Remove a reservation and free its slot and memory; return None if it is unknown."""
         reservation = self.reservations_by_key.pop(key, None)
         if reservation is None:
             return None
@@ -78,7 +81,7 @@
         return reservation
 
     def give_back_prefill(self, reservation: Reservation, now: float) -> None:
-        """Shorten a prefill engine's queue by work that will not be done."""
+        """Shorten a prefill engine's predicted queue by work that will not be done."""
         load = self.loads_by_engine.get(reservation.prefill_id)
         if load is None or reservation.prefill_end_at <= now:
             return
@@ -87,9 +90,10 @@
         self.loads_by_engine[load.id] = changed(load, prefill_free_at=free_at)
 
     def apply_report(self, engine: EngineConfig, report: EngineReport) -> None:
-        """Correct an engine's row by its report, as of the time the report describes.
+        """Update an engine's load from its report.
 
-        Grants made after that time are added on top: the engine could not have seen them.
+        Grants made after the time that the report describes are added to it, because the engine
+        had not received them yet.
         """
         load = self.loads_by_engine[engine.id]
         free_at = report.as_of + report.prefill_backlog_tokens / engine.prefill_tokens_per_s
@@ -107,13 +111,13 @@
         )
 
     def mark_suspect(self, engine_id: str, now: float) -> None:
-        """Prefer other engines for a while, after a failed call."""
+        """Prefer other engines for ``SUSPECT_DURATION_S`` after a failed call."""
         load = self.loads_by_engine.get(engine_id)
         if load is not None:
             self.loads_by_engine[engine_id] = changed(load, suspect_until=now + SUSPECT_DURATION_S)
 
     def mark_unreachable(self, engine_id: str, now: float) -> None:
-        """Keep new work off an engine for a while."""
+        """Send no new work to an engine for ``UNREACHABLE_DURATION_S``."""
         load = self.loads_by_engine.get(engine_id)
         if load is not None:
             self.loads_by_engine[engine_id] = changed(
@@ -121,20 +125,23 @@
             )
 
     def back_off(self, engine_id: str, rest_s: float, now: float) -> None:
-        """Keep new work off an engine that asked for rest, for as long as it asked."""
+        """Send no new work to an engine for the ``rest_s`` seconds that it asked for."""
         load = self.loads_by_engine.get(engine_id)
         if load is not None and rest_s > 0.0:
             until = max(load.backoff_until, now + rest_s)
             self.loads_by_engine[engine_id] = changed(load, backoff_until=until)
 
     def backoff_left_s(self, engine_ids: Iterable[str], now: float) -> float:
-        """When the first of some engines takes work again, if all of them rest; else 0."""
+        """Return the seconds until the first of these engines accepts work again.
+
+        The result is 0 unless all of them are backing off.
+        """
         loads = (self.loads_by_engine.get(engine_id) for engine_id in engine_ids)
         rests = [max(0.0, load.backoff_until - now) for load in loads if load is not None]
         return min(rests, default=0.0)
 
     def confirm(self, keys: Iterable[str], now: float) -> None:
-        """These reservations were confirmed by their entry box."""
+        """Note that the entry box has confirmed these reservations."""
         for key in keys:
             reservation = self.reservations_by_key.get(key)
             if reservation is not None:
@@ -153,5 +160,5 @@
 
 
 def kv_commitment(needs: PlacementNeeds) -> tuple[float, float]:
-    """KV tokens and variance to write down for a request."""
+    """Return the KV tokens and the variance to commit for a request."""
     return kv_tokens_to_commit(needs), needs.output_variance
--- a/src/croftchute/systems/membership.py
+++ b/src/croftchute/systems/membership.py
@@ -1,4 +1,4 @@
-"""Which boxes are live: heartbeats, suspicion and incarnations."""
+"""Membership: which boxes are live, by their heartbeats and incarnations."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 from croftchute.timeline.events import Event, Kind
 
 MAX_CHECK_GAP_SHARE = 0.25
-"""Share of the time to suspicion that may lie between two looks: after more than that this box was
-itself held up, and heartbeats that came meanwhile may not have been read yet."""
+"""Longest gap between two checks, as a share of ``suspect_after_s``. After a longer gap this box
+was itself stalled, and it may not have read the heartbeats that arrived meanwhile."""
 
 
 class Membership:
-    """The boxes this one knows of. A box counts as live while its heartbeats keep coming."""
+    """The known boxes; a box is live while its heartbeats keep arriving."""
 
     def __init__(self, *, own: Box, suspect_after_s: float) -> None:
         self.own = own
@@ -28,7 +28,7 @@
         return f"Membership(own={self.own.id!r}, live={self.live_ids()!r})"
 
     def add_boxes(self, boxes: Iterable[Box]) -> None:
-        """Add boxes from settings or the platform's list; they stay suspect until heard."""
+        """Add boxes from settings or the platform's list; suspect until their first heartbeat."""
         for box in boxes:
             if box.id != self.own.id:
                 not_yet_heard = replace(box, state=BoxState.SUSPECT, heard_at=0.0, incarnation=0)
@@ -37,7 +37,11 @@
     def heartbeat_received(
         self, sender: str, beat: Heartbeat, now: float
     ) -> tuple[list[Event], bool]:
-        """Take in a heartbeat; says what changed and whether the sender was restarted."""
+        """Apply a heartbeat; return the events and whether the sender was restarted.
+
+        A heartbeat of an older incarnation is ignored, and so is one without an address from a
+        box that is not known yet.
+        """
         known = self.boxes_by_id.get(sender)
         if known is not None and beat.incarnation < known.incarnation:
             return [], False
@@ -58,7 +62,7 @@
         return [Event(kind=Kind.BOX_LIVE, detail=f"{sender} {state.value}")], restarted
 
     def suspect_silent(self, now: float) -> list[str]:
-        """Suspect the boxes that have fallen silent for too long; returns which."""
+        """Mark live boxes suspect that were silent for too long, and return their ids."""
         self._note_check(now)
         suspected = []
         for box in list(self.boxes_by_id.values()):
@@ -70,29 +74,32 @@
         return suspected
 
     def _note_check(self, now: float) -> None:
-        """After a pause of this box others get the whole time anew."""
+        """Restart the silence timeout of all boxes if this box itself was stalled."""
         checked_at, self._checked_at = self._checked_at, now
         if checked_at is not None and now - checked_at > MAX_CHECK_GAP_SHARE * self.suspect_after_s:
             self._resumed_at = now
 
     def is_live(self, box_id: str) -> bool:
-        """Whether a box is this one or has been heard lately."""
+        """Return whether a box is this one, or its heartbeats keep arriving."""
         if box_id == self.own.id:
             return True
         box = self.boxes_by_id.get(box_id)
         return box is not None and box.state in (BoxState.LIVE, BoxState.LEAVING)
 
     def live_ids(self) -> list[str]:
-        """Boxes of this hall that answer, leaving ones included, sorted."""
+        """Return the live boxes of this hall, including leaving ones, sorted."""
         return self._hall_ids((BoxState.LIVE, BoxState.LEAVING))
 
     def owner_ids(self) -> list[str]:
-        """Boxes of this hall that may own shards; a leaving box gives its shards away."""
+        """Return the boxes of this hall that may own shards.
+
+        A leaving box gives its shards away, unless no other box is live.
+        """
         owners = self._hall_ids((BoxState.LIVE,))
         return owners or self.live_ids()
 
     def hall_peers(self) -> list[Box]:
-        """All other boxes of this hall that are known, silent ones included."""
+        """Return all other known boxes of this hall, including silent ones."""
         return [box for box in self.boxes_by_id.values() if box.hall == self.own.hall]
 
     def _hall_ids(self, states: tuple[BoxState, ...]) -> list[str]:
@@ -102,7 +109,7 @@
 
 
 def _box_from_heartbeat(sender: str, beat: Heartbeat) -> Box | None:
-    """The box as its heartbeat describes it; None if the heartbeat leaves the address out."""
+    """Return the box that a heartbeat describes; None if it leaves the address out."""
     if not beat.address:
         return None
     return Box(
--- a/src/croftchute/systems/owner_messages.py
+++ b/src/croftchute/systems/owner_messages.py
@@ -1,4 +1,4 @@
-"""Messages and events that the owner of a shard makes of its rows."""
+"""Messages and events that the owner of a shard sends."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def policy_failed_event(ask: Reserve, failure: str) -> Event:
-    """The event that tells that a policy was passed over for a request."""
+    """Build the event for a request that was placed without its policy, as that failed."""
     return Event(
         kind=Kind.POLICY_FAILED,
         request_id=ask.request_id,
@@ -19,7 +19,7 @@
 
 
 def build_granted(held: Reservation) -> Granted:
-    """The message that tells an entry box of a reservation."""
+    """Build the message that grants a reservation to an entry box."""
     return Granted(
         request_id=held.request_id,
         attempt=held.attempt,
--- a/src/croftchute/systems/placement.py
+++ b/src/croftchute/systems/placement.py
@@ -1,6 +1,6 @@
-"""Choosing engines within a shard: when would the first token come, and is there memory.
+"""Choice of engines within a shard, by predicted time to first token and free memory.
 
-All of it is arithmetic on the owner's rows; nothing here changes them.
+The functions only read the owner's rows.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 
 class PlacementNeeds(Row, frozen=True, kw_only=True):
-    """What a request needs; ``cached_by_engine`` holds prompt tokens not to be computed."""
+    """What a request needs; ``cached_by_engine`` counts prompt tokens that need no prefill."""
 
     prompt_tokens: int
     expected_output: float
@@ -32,7 +32,7 @@
 
 
 class Placement(Row, frozen=True, kw_only=True):
-    """A pair of engines and the times at which the work would pass through them."""
+    """A pair of engines and the predicted times of each stage on them."""
 
     prefill_id: str
     decode_id: str
@@ -45,7 +45,7 @@
 
 
 class PrefillSlot(Row, frozen=True, kw_only=True):
-    """A time slot at a prefill engine."""
+    """A time slot on a prefill engine."""
 
     engine_id: str
     uncached_tokens: int
@@ -54,14 +54,14 @@
 
 
 def kv_tokens_to_commit(needs: PlacementNeeds) -> float:
-    """KV tokens to commit for a request: its prompt and most of its expected growth."""
+    """Return the KV tokens to commit for a request: its prompt and most of its output."""
     return needs.prompt_tokens + COMMITTED_OUTPUT_SHARE * needs.expected_output
 
 
 def has_kv_room(
     load: EngineLoad, engine: EngineConfig, needs: PlacementNeeds, *, waste_aversion: float
 ) -> bool:
-    """Whether a decode engine has a free slot and room for the request's likely growth."""
+    """Return whether a decode engine has a free slot and memory for the request's output."""
     if load.running >= engine.slots:
         return False
     sigmas = MIN_SIGMAS + MAX_EXTRA_SIGMAS * waste_aversion
@@ -77,7 +77,7 @@
     *,
     now: float,
 ) -> list[PrefillSlot]:
-    """Slots at the usable prefill engines, earliest end first, those to avoid last."""
+    """Return slots on the usable prefill engines, earliest end first, those to avoid last."""
     slots = []
     for engine in engines:
         load = loads[engine.id]
@@ -107,9 +107,10 @@
     now: float,
     waste_aversion: float,
 ) -> list[EngineConfig]:
-    """Decode engines with room, emptiest first; those to avoid only if there is no other.
+    """Return decode engines with free memory, least loaded first.
 
-    One that failed a call lately gets nothing, since a prefill for it may be wasted.
+    Engines that the request should avoid are left out unless there is no other. An engine that
+    recently failed a call gets nothing, since a prefill for it may be wasted.
     """
     candidates = [
         engine
@@ -129,7 +130,7 @@
 def place_on_decode(
     slot: PrefillSlot, engine: EngineConfig, load: EngineLoad, needs: PlacementNeeds, *, now: float
 ) -> Placement | None:
-    """The placement of a prefill slot on a decode engine; None if the result would expire."""
+    """Place a prefill slot's result on a decode engine; None if the result would expire."""
     transfer = 0.0
     if slot.engine_id != engine.id:
         transfer = needs.prompt_tokens * needs.kv_bytes_per_token / engine.link_bytes_per_s
@@ -156,7 +157,10 @@
     now: float,
     waste_aversion: float,
 ) -> list[Placement]:
-    """A few placements, earliest first token first; among equals, emptiest decode engine first."""
+    """Return up to ``MAX_SHORTLIST`` placements, earliest first token first.
+
+    Among equals the one with the least loaded decode engine comes first.
+    """
     slots = prefill_slots(engines, loads, needs, now=now)
     if not slots:
         return []
@@ -171,7 +175,7 @@
 
 
 def _is_last_resort(load: EngineLoad, needs: PlacementNeeds, now: float) -> bool:
-    """Whether an engine failed lately, or failed this very request."""
+    """Return whether an engine failed recently, or failed an attempt of this request."""
     return load.id in needs.avoid or now < load.suspect_until
 
 
--- a/src/croftchute/systems/pool_retry_budget.py
+++ b/src/croftchute/systems/pool_retry_budget.py
@@ -1,4 +1,7 @@
-"""A retry budget: retries may be at most a share of requests, so that outages do not grow."""
+"""Retry budget of a pool.
+
+Retries are limited to a share of the requests, so that they do not amplify an outage.
+"""
 
 from __future__ import annotations
 
@@ -7,7 +10,7 @@
 
 
 class PoolRetryBudget:
-    """Earns a share of a retry with each request, spends one with each retry."""
+    """Token bucket that gains a share of a retry per request and loses one per retry."""
 
     def __init__(
         self,
@@ -22,11 +25,11 @@
         return f"PoolRetryBudget(saved={self.saved_retries:.1f})"
 
     def deposit(self) -> None:
-        """Count a new request."""
+        """Add the share of a retry that a new request earns."""
         self.saved_retries = min(MAX_SAVED_RETRIES, self.saved_retries + self.retries_per_request)
 
     def try_withdraw(self) -> bool:
-        """Take one retry out of the budget, if there is one."""
+        """Take one retry out of the budget; return false if less than one is left."""
         if self.saved_retries < 1.0:
             return False
         self.saved_retries -= 1.0
--- a/src/croftchute/systems/prediction.py
+++ b/src/croftchute/systems/prediction.py
@@ -1,4 +1,4 @@
-"""Predicting how long outputs grow: mean and variance by model, learned from what ended."""
+"""Forecast of output lengths: mean and variance by model, learned from completed requests."""
 
 from __future__ import annotations
 
@@ -15,19 +15,19 @@
     variance: float
 
     def updated(self, tokens: int) -> OutputLengthForecast:
-        """The forecast after one more output of this length."""
+        """Return the forecast after one more output of ``tokens`` tokens."""
         error = tokens - self.mean
         mean = self.mean + LEARNING_RATE * error
         variance = (1.0 - LEARNING_RATE) * (self.variance + LEARNING_RATE * error * error)
         return replace(self, mean=mean, variance=variance)
 
     def capped_at(self, max_tokens: int) -> tuple[float, float]:
-        """Mean and variance for a request limited to ``max_tokens``."""
+        """Return mean and variance for a request limited to ``max_tokens``."""
         if max_tokens <= self.mean:
             return float(max_tokens), 0.0
         return self.mean, self.variance
 
 
 def initial_forecast(expected_tokens: float) -> OutputLengthForecast:
-    """The forecast before anything is learned: spread as wide as the mean itself."""
+    """Return the forecast before any output is known; its deviation is half the mean."""
     return OutputLengthForecast(mean=expected_tokens, variance=(expected_tokens * 0.5) ** 2)
--- a/src/croftchute/systems/prefix_index.py
+++ b/src/croftchute/systems/prefix_index.py
@@ -1,7 +1,9 @@
-"""Which prompt prefixes an engine probably holds, from its late and gappy cache events.
+"""Estimate of the prompt prefixes that an engine caches, from its cache events.
 
-An entry is sure while the events have come without a gap, doubtful after one. Doubt costs O(1):
-an entry written before the last gap is doubtful until an event names it again.
+Events arrive late, and some are lost. An entry is fresh while the sequence numbers have no gap,
+and stale after one. Marking all entries stale takes O(1): each entry stores the generation in
+which it was written, and a gap starts a new generation. An entry is fresh again once an event
+names it.
 """
 
 from __future__ import annotations
@@ -17,7 +19,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class CacheEvent:
-    """One event of an engine's prefix cache; ``seq`` rises by one for each event."""
+    """An event of an engine's prefix cache; ``seq`` increases by one with each event."""
 
     seq: int
     stored: tuple[int, ...] = ()
@@ -25,7 +27,10 @@
 
 
 class PrefixIndex:
-    """The blocks of one engine's prefix cache, bounded, least recently named out first."""
+    """The known blocks of one engine's prefix cache.
+
+    The index is bounded; the block that events named least recently is evicted first.
+    """
 
     def __init__(self, *, max_blocks: int = MAX_BLOCKS) -> None:
         self.max_blocks = max_blocks
@@ -37,7 +42,7 @@
         return f"PrefixIndex(blocks={len(self._generation_by_block)}, next_seq={self.next_seq})"
 
     def apply(self, event: CacheEvent) -> None:
-        """Take in an event; one that came before is ignored, a gap makes all entries doubtful."""
+        """Apply an event; ignore one already seen, and mark all entries stale at a gap."""
         if self.next_seq is not None and event.seq < self.next_seq:
             return
         if self.next_seq is not None and event.seq > self.next_seq:
@@ -52,16 +57,19 @@
             self._generation_by_block.popitem(last=False)
 
     def mark_stale(self) -> None:
-        """Make all present entries doubtful."""
+        """Mark all present entries stale."""
         self._generation += 1
 
     def clear(self) -> None:
-        """The engine restarted: its cache is empty and its sequence begins anew."""
+        """Drop all entries after a restart of the engine; its sequence starts anew."""
         self._generation_by_block.clear()
         self.next_seq = None
 
     def cached_tokens(self, prefix: Sequence[int]) -> float:
-        """Expected number of a prompt's leading tokens that the engine holds."""
+        """Return the expected number of leading prompt tokens that the engine has cached.
+
+        A stale block counts for ``STALE_BLOCK_CREDIT`` of its tokens.
+        """
         tokens = 0.0
         for block in prefix:
             generation = self._generation_by_block.get(block)
--- a/src/croftchute/systems/pressure.py
+++ b/src/croftchute/systems/pressure.py
@@ -1,4 +1,4 @@
-"""How short of capacity a shard has been lately: the share of asks that it had to decline."""
+"""A shard's recent lack of capacity: the share of reservation requests that it declined."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class Pressure:
-    """An exponentially weighted share of declines, one for each shard an owner holds."""
+    """Exponentially weighted share of declines; a shard's owner keeps one per shard."""
 
     def __init__(self) -> None:
         self.declined_share = 0.0
@@ -17,9 +17,13 @@
 
     @property
     def level(self) -> float:
-        """0 without declines, 1 from a tenth of the asks on."""
+        """Return 0 without declines, rising to 1 when a tenth or more were declined."""
         return min(1.0, self.declined_share / FULL_PRESSURE_DECLINED_SHARE)
 
     def record(self, *, declined: bool) -> None:
-        """Count an ask; declined means that nobody's ask of that size could have been granted."""
+        """Count a reservation request.
+
+        ``declined`` means that the shard lacked the capacity for a request of this size,
+        whichever caller sent it.
+        """
         self.declined_share += LEARNING_RATE * (float(declined) - self.declined_share)
--- a/src/croftchute/systems/shard_choice.py
+++ b/src/croftchute/systems/shard_choice.py
@@ -1,4 +1,7 @@
-"""Choosing which shards to ask, from lagging digests: the prefix's own shard, or a lighter one."""
+"""Choice of the shards to ask for a request, from digests that lag behind the real load.
+
+The shard that a prompt's prefix maps to is preferred, unless others are clearly less loaded.
+"""
 
 from __future__ import annotations
 
@@ -17,7 +20,7 @@
 
 
 class ShardChooser:
-    """Digests by shard, and this box's own grants since each digest."""
+    """The latest digest of each shard, and how often this box chose the shard since."""
 
     def __init__(self, *, rng: random.Random, is_reachable: Callable[[str], bool]) -> None:
         self.rng = rng
@@ -26,14 +29,14 @@
         self._asks_since_digest: dict[str, int] = {}
 
     def update_digest(self, digest: ShardDigest) -> None:
-        """Take in a digest; an older one than known is ignored."""
+        """Store a digest unless a newer one is known."""
         known = self.digests_by_shard.get(digest.shard)
         if known is None or digest.at >= known.at:
             self.digests_by_shard[digest.shard] = digest
             self._asks_since_digest[digest.shard] = 0
 
     def candidates(self, request: Request, topology: Topology, now: float) -> tuple[str, ...]:
-        """Up to three shards to ask in turn, best first."""
+        """Return up to ``MAX_CANDIDATES`` shards to ask in turn, best first."""
         model = topology.models_by_id[request.model]
         shards = topology.shards_by_pool.get(model.pool, ())
         if not shards:
@@ -55,7 +58,7 @@
         return self.rng.sample(shards, MAX_SAMPLED_SHARDS)
 
     def _affinity_shard(self, request: Request, shards: tuple[Shard, ...]) -> Shard | None:
-        """The shard that a prompt's first block belongs to, so that its prefix is reused."""
+        """Return the shard that the prompt's first block maps to, where its prefix is reused."""
         if not request.prefix or len(shards) == 1:
             return None
         position = request.prefix[0] % len(shards)
--- a/src/croftchute/systems/shard_digest.py
+++ b/src/croftchute/systems/shard_digest.py
@@ -1,4 +1,4 @@
-"""What the owner of a shard tells other boxes of its load."""
+"""Summary of a shard's load that its owner sends to other boxes."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 def build_digest(
     shard_id: str, engines: Sequence[EngineConfig], loads: Mapping[str, EngineLoad], now: float
 ) -> ShardDigest:
-    """The shortest wait for prefill, the largest free decode memory, and all free slots."""
+    """Return the shortest prefill wait, the largest free decode memory and all free slots."""
     waits = [
         max(0.0, loads[engine.id].prefill_free_at - now)
         for engine in engines
--- a/src/croftchute/systems/sharding.py
+++ b/src/croftchute/systems/sharding.py
@@ -1,7 +1,8 @@
-"""Dividing engines into shards, and shards among boxes, by rendezvous hashing.
+"""Assignment of engines to shards, and of shards to boxes, by rendezvous hashing.
 
-Both divisions are bounded: no shard holds more than its even share of a role, no box more than
-its even share of shards. Every box computes the same result from the same input.
+Both assignments are bounded: no shard holds more than its even share of the engines of a role,
+and no box owns more than its even share of shards. Every box computes the same result from the
+same input.
 """
 
 from __future__ import annotations
@@ -15,7 +16,7 @@
 
 
 def assign_evenly(keys: Sequence[str], places: Sequence[str]) -> dict[str, str]:
-    """A place for each key, with at most an even share of keys (rounded up) at a place.
+    """Assign each key to a place, at most an even share of keys (rounded up) to each.
 
     >>> sorted(assign_evenly(["a", "b", "c", "d"], ["x", "y"]).values())
     ['x', 'x', 'y', 'y']
@@ -33,7 +34,10 @@
 
 
 def shard_count(engines: Sequence[EngineSpec], engines_per_shard: int) -> int:
-    """How many shards a pool's engines in one hall make: each can prefill and decode."""
+    """Return the number of shards for a pool's engines in one hall.
+
+    It is limited so that each shard has an engine for prefill and one for decode.
+    """
     both = sum(engine.role is Role.BOTH for engine in engines)
     prefill = sum(engine.role is Role.PREFILL for engine in engines) + both
     decode = sum(engine.role is Role.DECODE for engine in engines) + both
@@ -42,7 +46,7 @@
 
 
 def pool_shards(pool: PoolSpec, hall: str) -> tuple[Shard, ...]:
-    """The shards of one pool in one hall."""
+    """Return the shards of one pool in one hall."""
     engines = [engine for engine in pool.engines if engine.hall == hall]
     if not engines:
         return ()
@@ -59,7 +63,7 @@
 
 
 def build_topology(document: Document, *, revision: int, hall: str) -> Topology:
-    """The configuration as the systems of one hall read it."""
+    """Convert a configuration to the form that the systems of one hall read."""
     shards_by_pool = {pool.id: pool_shards(pool, hall) for pool in document.pools}
     shards = [shard for shards in shards_by_pool.values() for shard in shards]
     engines = [engine for pool in document.pools for engine in pool.engines if engine.hall == hall]
