--- a/src/croftchute/policies/__init__.py
+++ b/src/croftchute/policies/__init__.py
@@ -1,1 +1,1 @@
-"""Operators' routing policies, written in Starlark."""
+"""Routing policies that operators write in Starlark."""
--- a/src/croftchute/policies/runner.py
+++ b/src/croftchute/policies/runner.py
@@ -1,4 +1,4 @@
-"""Running policies at placement: any failure or overrun keeps the built-in order."""
+"""Execution of policies at placement; a failure or overrun keeps the built-in order."""
 
 from __future__ import annotations
 
@@ -17,9 +17,9 @@
 
 
 class PolicyRunner:
-    """The policies in force; one that keeps failing is rested for a while.
+    """The active policies; one that keeps failing is suspended for ``SUSPENSION_S``.
 
-    ``clock`` gives seconds and serves only to notice overruns.
+    ``clock`` returns seconds. It is used only to detect overruns and to end suspensions.
     """
 
     def __init__(self, *, clock: Callable[[], float]) -> None:
@@ -29,7 +29,7 @@
         self._suspended_until: dict[str, float] = {}
 
     def load(self, document: Document) -> None:
-        """Put a checked document's policies in force."""
+        """Compile and activate the policies of a document that has passed its checks."""
         self._compiled_by_name = {
             policy.id: compile_policy(policy.id, policy.source) for policy in document.policies
         }
@@ -39,18 +39,20 @@
     def order_placements(
         self, policy: str, ask: Reserve, placements: Sequence[Placement]
     ) -> PolicyOrder:
-        """The placements as the policy orders them."""
+        """Return the placements in the policy's order, or unchanged if the policy fails."""
         compiled = self._compiled_by_name.get(policy)
         started = self.clock()
         if compiled is None or started < self._suspended_until.get(policy, 0.0):
-            return PolicyOrder(placements=placements, failure=f"{policy}: resting")
+            return PolicyOrder(placements=placements, failure=f"{policy}: suspended")
         by_id = {_candidate_id(placement): placement for placement in placements}
         try:
             ids = compiled.order(_request(ask), [_candidate(p, placements) for p in placements])
         except PolicyError as error:
             return self._record_failure(policy, placements, error.message)
         if self.clock() - started > MAX_RUN_S:
-            return self._record_failure(policy, placements, f"{policy}: overran {MAX_RUN_S} s")
+            return self._record_failure(
+                policy, placements, f"{policy}: took longer than {MAX_RUN_S} s"
+            )
         self.consecutive_failures_by_policy[policy] = 0
         return PolicyOrder(placements=[by_id[id] for id in ids])
 
--- a/src/croftchute/policies/starlark_policy.py
+++ b/src/croftchute/policies/starlark_policy.py
@@ -1,8 +1,8 @@
-"""Operators' policies in Starlark: compiled once, called with a short list of candidates.
+"""Operators' policies in Starlark, compiled once and called with a short list of candidates.
 
-A policy defines ``order(request, candidates)`` and returns the ids of the candidates that may
-be used, best first; an empty list refuses the request. Starlark has no ``while``, no recursion
-and no clock or I/O, so a policy is deterministic; its loops are bounded by its candidates.
+A policy defines ``order(request, candidates)``, which returns the ids of the usable candidates,
+best first. An empty list refuses the request. Starlark has no ``while``, recursion, clock or I/O,
+so a policy is deterministic, and its candidates bound its loops.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 
 class CompiledPolicy:
-    """A policy ready to call; made by :func:`compile_policy`."""
+    """A compiled policy; created by :func:`compile_policy`."""
 
     def __init__(self, *, name: str, module: Any) -> None:
         self.name = name
@@ -33,7 +33,10 @@
         return f"CompiledPolicy(name={self.name!r})"
 
     def order(self, request: PolicyRecord, candidates: Sequence[PolicyRecord]) -> tuple[str, ...]:
-        """Ids of the usable candidates, best first; raises :class:`PolicyError` on failure."""
+        """Return the ids of the usable candidates, best first.
+
+        Raise :class:`PolicyError` if the policy fails or returns anything but a list of ids.
+        """
         known = {str(candidate["id"]) for candidate in candidates}
         try:
             result = self._module.call(
@@ -48,9 +51,9 @@
 
 
 def compile_policy(name: str, source: str) -> CompiledPolicy:
-    """Parse a policy; raises :class:`PolicyError` with line and column when it is invalid."""
+    """Compile a policy; raise :class:`PolicyError`, if possible with line and column."""
     if len(source.encode()) > MAX_SOURCE_BYTES:
-        message = f"{name}: longer than {MAX_SOURCE_BYTES} bytes"
+        message = f"{name}: source is longer than {MAX_SOURCE_BYTES} bytes"
         raise PolicyError(Code.POLICY_INVALID, message)
     if "range(" in source:
         raise PolicyError(Code.POLICY_INVALID, f"{name}: {RANGE_UNAVAILABLE_MESSAGE}")
--- a/tests/policies/test_runner.py
+++ b/tests/policies/test_runner.py
@@ -34,49 +34,49 @@
 
 def make_runner(source, times=None):
     clock = iter(times) if times else iter([0.0] * 1000)
-    made = PolicyRunner(clock=lambda: next(clock))
-    made.load(replace(DAKAR, policies=[PolicySpec(id="x", source=POLICY_HEADER + source)]))
-    return made
+    runner = PolicyRunner(clock=lambda: next(clock))
+    runner.load(replace(DAKAR, policies=[PolicySpec(id="x", source=POLICY_HEADER + source)]))
+    return runner
 
 
 def decode_ids(ordered):
     return [choice.decode_id for choice in ordered.placements]
 
 
-def test_a_policy_orders_and_filters():
-    later = make_runner("  return [c['id'] for c in candidates if c['later_s'] > 0.1]\n")
-    ordered = later.order_placements("x", reserve_body(), PLACEMENTS)
+def test_a_policy_orders_and_filters_placements():
+    policy = make_runner("  return [c['id'] for c in candidates if c['later_s'] > 0.1]\n")
+    ordered = policy.order_placements("x", reserve_body(), PLACEMENTS)
     assert (decode_ids(ordered), ordered.failure) == (["d2"], "")
 
 
-def test_a_policy_sees_the_request():
-    choosy = make_runner(
+def test_a_policy_can_refuse_by_request_priority():
+    policy = make_runner(
         "  return [c['id'] for c in candidates] if request['priority'] > 8 else []\n"
     )
-    assert decode_ids(choosy.order_placements("x", reserve_body(), PLACEMENTS)) == []
+    assert decode_ids(policy.order_placements("x", reserve_body(), PLACEMENTS)) == []
 
 
-def test_a_policy_that_fails_keeps_the_order_and_rests_after_a_while():
-    broken = make_runner("  return candidates[7]\n")
+def test_a_failing_policy_keeps_the_built_in_order_and_is_suspended():
+    policy = make_runner("  return candidates[7]\n")
     for n in range(MAX_CONSECUTIVE_FAILURES):
-        ordered = broken.order_placements("x", reserve_body(), PLACEMENTS)
+        ordered = policy.order_placements("x", reserve_body(), PLACEMENTS)
         assert decode_ids(ordered) == ["d1", "d2"], n
         assert "x" in ordered.failure
-    assert broken.order_placements("x", reserve_body(), PLACEMENTS).failure == "x: resting"
+    assert policy.order_placements("x", reserve_body(), PLACEMENTS).failure == "x: suspended"
 
 
-def test_a_policy_that_overruns_keeps_the_order():
-    slow = make_runner("  return ['p>d2']\n", [0.0, 2 * MAX_RUN_S, 1.0, 1.0])
-    first = slow.order_placements("x", reserve_body(), PLACEMENTS)
+def test_a_policy_that_takes_too_long_keeps_the_built_in_order():
+    policy = make_runner("  return ['p>d2']\n", [0.0, 2 * MAX_RUN_S, 1.0, 1.0])
+    first = policy.order_placements("x", reserve_body(), PLACEMENTS)
     assert decode_ids(first) == ["d1", "d2"]
-    assert "overran" in first.failure
-    assert decode_ids(slow.order_placements("x", reserve_body(), PLACEMENTS)) == ["d2"]
+    assert "took longer" in first.failure
+    assert decode_ids(policy.order_placements("x", reserve_body(), PLACEMENTS)) == ["d2"]
 
 
-def test_rest_ends():
-    # Each call reads the clock once, the one that begins the rest a second time.
+def test_a_suspension_ends():
+    # Each call reads the clock once; the call that starts the suspension reads it twice.
     times = [0.0] * (MAX_CONSECUTIVE_FAILURES + 1) + [SUSPENSION_S + 1.0] * 9
-    broken = make_runner("  return candidates[7]\n", times)
+    policy = make_runner("  return candidates[7]\n", times)
     for _ in range(MAX_CONSECUTIVE_FAILURES):
-        broken.order_placements("x", reserve_body(), PLACEMENTS)
-    assert broken.order_placements("x", reserve_body(), PLACEMENTS).failure != "x: resting"
+        policy.order_placements("x", reserve_body(), PLACEMENTS)
+    assert policy.order_placements("x", reserve_body(), PLACEMENTS).failure != "x: suspended"
