--- a/src/croftchute/commands.py
+++ b/src/croftchute/commands.py
@@ -1,4 +1,4 @@
-"""What the systems ask the I/O side of a process to do."""
+"""Commands that the systems return for the process's I/O code to execute."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class SendPeer(Row, frozen=True, kw_only=True):
-    """Send a message to another box; it may be lost."""
+    """Send a message to another box; delivery is not guaranteed."""
 
     box: str
     body: Body
@@ -26,7 +26,7 @@
 
 
 class RefuseRequest(Row, frozen=True, kw_only=True):
-    """Give a request its final answer: it will not be served (any further)."""
+    """Refuse a request, or end it before its answer is complete."""
 
     request_id: str
     code: Code
@@ -35,7 +35,7 @@
 
 
 class CancelAttempt(Row, frozen=True, kw_only=True):
-    """Cancel an attempt at an engine; the outcome comes back as an input."""
+    """Cancel an attempt at an engine; the outcome is reported back to the systems."""
 
     engine_id: str
     key: str
@@ -48,26 +48,26 @@
 
 
 class FetchSharedState(Row, frozen=True, kw_only=True):
-    """Get a newer configuration or range map from a peer."""
+    """Fetch a newer configuration or range map from a peer."""
 
     box: str
 
 
 class ProposeRangeMap(Row, frozen=True, kw_only=True):
-    """Try to put new rows in place of a version of the range map in the platform's store."""
+    """Try to replace a version of the range map in the platform's store by new rows."""
 
     version: int
     rows: tuple[RangeRow, ...]
 
 
 class EmitEvent(Row, frozen=True, kw_only=True):
-    """Put an event on the time line."""
+    """Add an event to the timeline."""
 
     event: Event
 
 
 class DecideCall(Row, frozen=True, kw_only=True):
-    """The verdict on a non-repeatable call that waits at this box."""
+    """Deliver the verdict on a non-repeatable call that is waiting at this box."""
 
     token: str
     decision: str
--- a/src/croftchute/tables/__init__.py
+++ b/src/croftchute/tables/__init__.py
@@ -1,1 +1,1 @@
-"""Frozen rows for the things the router knows about, and the table that holds them."""
+"""Frozen rows of the router's tables."""
--- a/src/croftchute/tables/boxes.py
+++ b/src/croftchute/tables/boxes.py
@@ -1,4 +1,4 @@
-"""Rows about boxes: peers of this one, in its own hall and in others."""
+"""Rows about boxes, in this box's hall and in others."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class BoxState(StrEnum):
-    """What a box is thought to be doing."""
+    """The state of a box, as another box believes it to be."""
 
     LIVE = "live"
     SUSPECT = "suspect"
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Box:
-    """A box; its incarnation is new at each start, 0 before the first heartbeat."""
+    """A box; ``incarnation`` increases at each start and is 0 before the first heartbeat."""
 
     id: str
     hall: str
--- a/src/croftchute/tables/dedupe.py
+++ b/src/croftchute/tables/dedupe.py
@@ -1,4 +1,4 @@
-"""Rows of at-most-once execution: key ranges, their pairs of boxes, and records of calls."""
+"""Rows for at-most-once execution: key ranges, their pairs of boxes, and records of calls."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class Phase(StrEnum):
-    """Where a non-repeatable call stands."""
+    """The phase of a non-repeatable call."""
 
     GRANTED = "granted"
     DONE = "done"
@@ -23,7 +23,7 @@
 
 
 class Decision(StrEnum):
-    """What the first box of a range says."""
+    """The reply of a range's first box."""
 
     RUN = "run"
     STORED = "stored"
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class BoxIncarnation:
-    """A box at one of its starts."""
+    """One incarnation of a box, that is the process between one start and its end."""
 
     box: str
     incarnation: int
@@ -41,10 +41,11 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class RangeRow:
-    """The pair that keeps the records of one key range, under an epoch.
+    """The pair of boxes that keeps the records of one key range in an epoch.
 
-    Keys minted before ``floor`` (Unix seconds) may have run under a lost pair. The records
-    began anew, with none, at ``floor_epoch``; a later epoch carries on with those there were.
+    Keys created before ``floor`` (Unix seconds) may have run under a pair that was lost with its
+    records. The range started without records at ``floor_epoch``; later epochs keep those written
+    since.
     """
 
     index: int
@@ -57,7 +58,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class RangeMap:
-    """The rows of all ranges; ``version`` rises with each accepted write."""
+    """The rows of all ranges; ``version`` increases with each accepted write."""
 
     version: int
     rows: tuple[RangeRow, ...]
@@ -65,7 +66,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Record:
-    """What is known of one call; ``token`` names the try that was let run."""
+    """The record of one call; ``token`` identifies the try that was allowed to run."""
 
     key: str
     token: str
@@ -79,17 +80,17 @@
 
 
 def range_of(key: str) -> int:
-    """The key range that a key falls into."""
+    """Return the index of a key's range."""
     return int(xxhash.xxh3_64_intdigest(key.encode())) % RANGES
 
 
 def dump_rows(rows: tuple[RangeRow, ...]) -> bytes:
-    """Rows as JSON, for the platform's store."""
+    """Serialise rows as JSON for the platform's store."""
     return json.dumps([asdict(row) for row in rows]).encode()
 
 
 def parse_rows(raw: bytes) -> tuple[RangeRow, ...]:
-    """Rows from the JSON of :func:`dump_rows`."""
+    """Parse rows from the JSON of :func:`dump_rows`."""
     return tuple(
         RangeRow(
             index=entry["index"],
--- a/src/croftchute/tables/requests.py
+++ b/src/croftchute/tables/requests.py
@@ -9,7 +9,7 @@
 
 
 class RequestState(StrEnum):
-    """Where a request stands at its entry box."""
+    """The state of an open request at its entry box."""
 
     CHOOSING = "choosing"
     RUNNING = "running"
@@ -18,7 +18,7 @@
 class Request(Row, frozen=True, kw_only=True):
     """A completion request; ``prefix`` holds hashes of its leading token blocks.
 
-    ``digest`` is what all tries of it have in common; empty if it is not told from others.
+    ``digest`` is the same for all tries of the request; empty if the request has none.
     """
 
     id: str
@@ -34,9 +34,9 @@
 
 
 class OpenRequest(Row, frozen=True, kw_only=True):
-    """A request in progress; ``delivered`` counts output tokens the caller has.
+    """A request in progress; ``delivered`` counts the output tokens that the caller has.
 
-    ``resume_wait_ends_at`` is until when an answer that has begun waits for a place to go on at.
+    Until ``resume_wait_ends_at`` an answer that has begun waits for a reservation to resume.
     """
 
     request: Request
@@ -54,10 +54,10 @@
 
     @property
     def is_last_shard_for_resume(self) -> bool:
-        """Whether an answer that has begun is lost unless the shard that was asked has a place.
+        """Whether an answer that has begun can resume only on the shard that was asked last.
 
-        Its caller cannot ask elsewhere without losing what it has, so its owner is asked until the
-        deadline; a request that has not begun is refused soon, and its caller told to come back.
+        Its caller would lose the part it has by asking elsewhere, so a silent owner is asked until
+        the deadline. A request that has not begun is refused soon, and its caller may retry.
         """
         return self.attempt > 1 and not self.candidates
 
@@ -77,10 +77,10 @@
 
 
 class AttemptEnd(Row, frozen=True, kw_only=True):
-    """How an attempt ended; ``sent`` says whether any engine may have begun it.
+    """How an attempt ended; ``sent`` is true if an engine may have started it.
 
-    ``engine_has_ended``: the process of the failed engine is gone, and did not just break off.
-    ``rest_s``: for how long that engine wants no work; 0 if it did not say so.
+    ``engine_has_ended`` is true if the failed engine's process has ended, rather than only the
+    connection. ``rest_s`` is for how long that engine wants no work; 0 if it did not say so.
     """
 
     request_id: str
@@ -96,7 +96,7 @@
 
 
 class Reservation(Row, frozen=True, kw_only=True):
-    """Engine time, link time and memory that an owner has set aside for one attempt."""
+    """Engine time, link time and memory that an owner has reserved for one attempt."""
 
     request_id: str
     attempt: int
@@ -120,12 +120,12 @@
 
     @property
     def key(self) -> str:
-        """Names the attempt, also towards engines."""
+        """Key of the attempt, also used in calls to engines."""
         return attempt_key(self.request_id, self.attempt)
 
 
 def attempt_key(request_id: str, attempt: int) -> str:
-    """The name of one attempt of a request.
+    """Return the key of one attempt of a request.
 
     >>> attempt_key("ab12", 2)
     'ab12-2'
--- a/src/croftchute/tables/rows.py
+++ b/src/croftchute/tables/rows.py
@@ -1,6 +1,7 @@
-"""The base of rows that change often: frozen like the data classes, but made and replaced in C.
+"""Base class of rows that change often: frozen, but created and copied in C.
 
-``dataclasses.replace`` took two thirds of a placement decision; see docs/DESIGN.md.
+With data classes, ``dataclasses.replace`` took two thirds of the time of a placement decision;
+see docs/DESIGN.md.
 """
 
 from __future__ import annotations
@@ -17,7 +18,7 @@
 
 
 def changed(row: R, **changes: Any) -> R:
-    """A copy of a row with some fields changed.
+    """Return a copy of a row with some fields changed.
 
     >>> class Point(Row, frozen=True, kw_only=True):
     ...     x: int = 0
--- a/src/croftchute/tables/upstreams.py
+++ b/src/croftchute/tables/upstreams.py
@@ -1,4 +1,4 @@
-"""Rows about engines: what they report, and what their owner has committed on them."""
+"""Rows about engines: their configuration, their reports and their committed load."""
 
 from __future__ import annotations
 
@@ -10,12 +10,15 @@
 
 
 def engine_hash(engine_id: str) -> int:
-    """A short name for an engine in messages; the configuration's check sees that none clash."""
+    """Return the short id of an engine in messages.
+
+    The check of a configuration rejects engines whose hashes collide.
+    """
     return int(xxhash.xxh32_intdigest(engine_id.encode()))
 
 
 class EngineReport(Row, frozen=True, kw_only=True):
-    """A load report, as the engine published it; it describes the engine at ``as_of``."""
+    """A load report as the engine published it, valid at the time ``as_of``."""
 
     as_of: float
     running: int
@@ -27,7 +30,7 @@
 
 
 class EngineLoad(Row, frozen=True, kw_only=True):
-    """What the owner knows of one engine; times are absolute seconds, sizes are tokens."""
+    """An owner's view of one engine's load; times are absolute seconds, sizes are tokens."""
 
     id: str
     prefill_free_at: float = 0.0
@@ -44,7 +47,7 @@
     report: EngineReport | None = None
 
     def accepts_work(self, now: float) -> bool:
-        """Whether new work may go to the engine."""
+        """Return whether new work may go to the engine."""
         if self.leaving or self.is_kv_full:
             return False
         return now >= self.unreachable_until and now >= self.backoff_until
@@ -52,7 +55,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class ShardDigest:
-    """What an owner tells other boxes about one of its shards."""
+    """Summary of a shard's load that its owner sends to other boxes."""
 
     shard: str
     at: float
@@ -63,7 +66,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class EngineConfig:
-    """What the configuration says of one engine, as the systems read it."""
+    """The configuration of one engine, in the form that the systems read."""
 
     id: str
     url: str
@@ -80,7 +83,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Shard:
-    """A set of engines of one pool in one hall with a single owning box."""
+    """A set of engines of one pool in one hall, owned by a single box."""
 
     id: str
     pool: str
@@ -90,7 +93,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class ModelConfig:
-    """What the configuration says of one model, as the systems read it."""
+    """The configuration of one model, in the form that the systems read."""
 
     id: str
     pool: str
@@ -105,7 +108,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Topology:
-    """The configuration as one hall sees it; rebuilt whole for each revision."""
+    """The configuration as one hall sees it, rebuilt for each revision."""
 
     revision: int
     hall: str
@@ -123,5 +126,5 @@
 
     @property
     def waste_aversion(self) -> float:
-        """Between 0 and 1: how much wasted prefill counts against goodput."""
+        """Weight of wasted prefill relative to goodput, from 0 to 1."""
         return self.wasted_prefill_weight / (self.goodput_weight + self.wasted_prefill_weight)
