--- a/src/croftchute/systems/box.py
+++ b/src/croftchute/systems/box.py
@@ -1,6 +1,6 @@
-"""One box's systems together: takes inputs, keeps the tables, returns commands.
+"""All systems of one box: takes inputs, updates tables and returns commands.
 
-The daemon and the benchmarks both drive this class; it has no clock, no I/O and no threads.
+The daemon and the benchmarks drive the same class. It has no clock, no I/O and no threads.
 """
 
 from __future__ import annotations
@@ -63,7 +63,7 @@
 
 
 class BoxSystems:
-    """All systems of one box, around the tables they share."""
+    """All systems of one box, with the tables that they share."""
 
     def __init__(
         self,
@@ -107,11 +107,11 @@
         return f"BoxSystems(box={self.own.id!r}, revision={self.topology.revision})"
 
     def owner_of(self, shard: str) -> str:
-        """The box that owns a shard, as this box sees it; itself if there is none."""
+        """Return the owner of a shard as this box sees it; this box itself if none is known."""
         return self.owners_by_shard.get(shard, self.own.id)
 
     def apply_config(self, document: Document, revision: int, now: float) -> list[Command]:
-        """Put a configuration in force; one that is not newer is ignored."""
+        """Apply a configuration; ignore one that is not newer."""
         if revision <= self.topology.revision:
             return []
         before = self.topology
@@ -127,59 +127,62 @@
         return commands + self._reassign(now)
 
     def add_boxes(self, boxes: Iterable[Box]) -> None:
-        """Make peers known from settings or the platform's list."""
+        """Add peers from settings or the platform's list."""
         self.membership.add_boxes(boxes)
 
     def start_leaving(self, now: float) -> list[Command]:
-        """Give all shards away; open requests run on."""
+        """Give all shards away; open requests continue."""
         self.own = replace(self.own, state=BoxState.LEAVING)
         self.membership.own = self.own
         self._next_heartbeat_at = 0.0
         return self._reassign(now) + self.tick(now)
 
     def request_received(self, request: Request, now: float) -> list[Command]:
-        """A caller's request came in."""
+        """Handle a caller's request."""
         return self._deliver_to_self(self.entry.request_received(request, now), now)
 
     def attempt_ended(self, end: AttemptEnd, now: float) -> list[Command]:
-        """An attempt of a request ended."""
+        """Handle the end of an attempt."""
         commands = self.entry.attempt_ended(end, now) + self._send_crash_news(now)
         return self._deliver_to_self(commands, now)
 
     def caller_left(self, request_id: str, now: float) -> list[Command]:
-        """A caller left."""
+        """Handle the disconnect of a request's caller."""
         return self._deliver_to_self(self.entry.caller_left(request_id, now), now)
 
     def engine_reported(
         self, engine_id: str, report: EngineReport, events: Iterable[CacheEvent], now: float
     ) -> list[Command]:
-        """An engine answered a poll."""
+        """Handle an engine's reply to a poll."""
         return self.owner.engine_reported(engine_id, report, events, now)
 
     def engine_unreachable(self, engine_id: str, now: float) -> list[Command]:
-        """An engine could not be reached for a poll."""
+        """Handle a failed poll of an engine."""
         return self.owner.engine_unreachable(engine_id, now)
 
     def cancel_confirmed(self, engine_id: str, key: str) -> list[Command]:
-        """An engine holds_records nothing for an attempt any more."""
+        """Handle the confirmation of an engine that it holds nothing for an attempt any more."""
         return self.cancels.confirm(engine_id, key)
 
     def begin_call(
         self, key: str, token: str, key_created_at: float | None, now: float
     ) -> list[Command]:
-        """Ask to run a non-repeatable call; ``key_created_at`` is None if this box made its key."""
+        """Ask whether a non-repeatable call may run.
+
+        ``key_created_at`` is None if this box made the key for this call.
+        """
         return self._deliver_to_self(self.dedupe.begin_call(key, token, key_created_at, now), now)
 
     def finish_call(self, finish: Finish, now: float) -> list[Command]:
-        """A non-repeatable call that was let run has an outcome."""
+        """Record the outcome of a non-repeatable call that was allowed to run."""
         return self._deliver_to_self(self.dedupe.finish_call(finish, now), now)
 
     def receive(self, sender: str, body: Body, now: float) -> list[Command]:
-        """A message from a peer, or from this box to itself."""
+        """Handle a message from a peer, or from this box to itself."""
         return self._deliver_to_self(self._dispatch(sender, body, now), now)
 
     def tick(self, now: float) -> list[Command]:
-        """Run what is due by time alone."""
+        """Run everything that is due at ``now``."""
         commands = self._suspect_silent_boxes(now)
         commands += self._reassign_if_changed(now)
         commands += self._send_heartbeats(now)
@@ -214,12 +217,12 @@
                 self.entry.crashes.hear(body, now)
                 return self._send_crash_news(now)
             case BoxNotice() | AllowanceAsk() | AllowanceReply():
-                return []  # meant for forwarding boxes, which keep a table of their own
+                return []  # for forwarding boxes, which have a table of their own
             case Begin() | Mirror() | Mirrored() | Verdict() | Finish():
                 return self.dedupe.receive(sender, body, now)
 
     def _deliver_to_self(self, commands: list[Command], now: float) -> list[Command]:
-        """Hand messages that this box sends itself straight back in."""
+        """Dispatch messages that this box sends to itself; return the other commands."""
         out: list[Command] = []
         for command in commands:
             if isinstance(command, SendPeer) and command.box == self.own.id:
@@ -248,7 +251,10 @@
         return commands
 
     def _suspect_silent_boxes(self, now: float) -> list[Command]:
-        """Free what silent boxes held. One that was never heard has not fallen silent."""
+        """Free the reservations of boxes that fell silent.
+
+        A box that has sent no heartbeat yet does not count as silent.
+        """
         commands: list[Command] = []
         for box in self.membership.suspect_silent(now):
             commands.append(EmitEvent(event=Event(kind=Kind.BOX_SUSPECT, detail=box)))
@@ -315,7 +321,7 @@
         ]
 
     def _send_crash_news(self, now: float) -> list[Command]:
-        """Tell the boxes that hear this one under which requests engines have ended."""
+        """Send news of requests under which engines crashed to the receivers of heartbeats."""
         news = self.entry.crashes.take_news(now)
         return [
             SendPeer(box=box, body=part) for part in news for box in self._heartbeat_receivers()
@@ -327,7 +333,7 @@
         return self.own.id in rank("relay", self.membership.live_ids())[:RELAYS_PER_HALL]
 
     def _heartbeat_receivers(self) -> list[str]:
-        """Who hears this box: its hall; from a relay, also a few boxes of every other hall."""
+        """Return the boxes of this hall; from a relay also the relays of every other hall."""
         ids = [box.id for box in self.membership.hall_peers()]
         if not self.is_relay:
             return ids
@@ -339,7 +345,7 @@
         return ids
 
     def apply_range_map(self, known: RangeMap, now: float) -> list[Command]:
-        """A range map came from the store or a peer."""
+        """Apply a range map from the store or a peer."""
         return self._deliver_to_self(self.dedupe.apply_map(known, now), now)
 
     def _repair_ranges(self, now: float) -> list[Command]:
--- a/src/croftchute/systems/dedupe.py
+++ b/src/croftchute/systems/dedupe.py
@@ -1,8 +1,8 @@
-"""At most once: a non-repeatable call runs only on the word of both boxes of its key's range.
+"""At-most-once execution: a non-repeatable call runs only if both boxes of its range agree.
 
-The first box of a range lets a call run after the second has written the record down under the
-same epoch. A box that has been replaced finds that the other no longer answers to its epoch, so
-neither clocks nor leases are trusted. A range without its second lets nothing run.
+Each key range has two boxes. The first allows a call after the second has stored its record
+under the same epoch. If a box has been replaced, the other one rejects its epoch, so the
+protocol relies on neither clocks nor leases. A range whose second box is missing allows no calls.
 """
 
 from __future__ import annotations
@@ -37,7 +37,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class PendingMessage:
-    """A message of an entry box that the first box of a range has not answered."""
+    """A message from this entry box that the range's first box has not answered yet."""
 
     key: str
     body: Begin | Finish
@@ -46,7 +46,7 @@
 
 
 class Deduplicator:
-    """This box's part in at-most-once execution: as entry box, as first and as second."""
+    """This box's roles in at-most-once execution: entry box, and first or second of ranges."""
 
     def __init__(self, *, box: str, incarnation: int) -> None:
         self.own = BoxIncarnation(box=box, incarnation=incarnation)
@@ -68,7 +68,7 @@
         return f"Deduplicator(box={self.own.box!r}, map={self.map.version}, records={held})"
 
     def box_restarted(self, box: str, incarnation: int) -> list[Command]:
-        """A box came back under a new incarnation: its earlier one has ended."""
+        """Note that earlier incarnations of a restarted box have ended."""
         for row in self.map.rows:
             for member in (row.first, row.second):
                 if member.box == box and member.incarnation < incarnation:
@@ -76,28 +76,28 @@
         return []
 
     def has_ended(self, member: BoxIncarnation) -> bool:
-        """Whether it is certain that a member's process is no more."""
+        """Return whether it is certain that a member's process has ended."""
         if member.box == self.own.box:
             return member.incarnation < self.own.incarnation
         return member in self._ended_incarnations
 
     def holds_records(self, index: int) -> bool:
-        """Whether this box holds all records of a range under the epoch in force."""
+        """Return whether this box has all records of a range under the current epoch."""
         row = self._rows_by_index.get(index)
         return row is not None and self.held_epoch_by_range.get(index) == row.epoch
 
     def is_ready(self, index: int) -> bool:
-        """Whether this box, as first, knows that the second holds all records too."""
+        """Return whether this box, as first, knows that the second has all records too."""
         row = self._rows_by_index.get(index)
         return row is not None and self.ready_epoch_by_range.get(index) == row.epoch
 
     @property
     def own_ranges(self) -> list[int]:
-        """Ranges in whose pair this box is, by the map in force."""
+        """Ranges that this box keeps as first or second, by the current map."""
         return [row.index for row in self.map.rows if self.own in (row.first, row.second)]
 
     def boxes_listed(self, boxes: frozenset[str]) -> None:
-        """The platform's list of boxes: one that was on it and no longer is has ended."""
+        """Apply the platform's list of boxes; a box that has left the list has ended."""
         for row in self.map.rows:
             for member in (row.first, row.second):
                 if member.box in self._listed and member.box not in boxes:
@@ -105,7 +105,7 @@
         self._listed = boxes
 
     def apply_map(self, known: RangeMap, now: float) -> list[Command]:
-        """Put a newer map in force; ranges gained are synchronised before they are used."""
+        """Apply a newer map; ranges that this box gains are synchronised before use."""
         if known.version <= self.map.version:
             return []
         self.map = known
@@ -123,7 +123,7 @@
     def begin_call(
         self, key: str, token: str, key_created_at: float | None, now: float
     ) -> list[Command]:
-        """Entry side: may this call run? The answer comes as a :class:`DecideCall`.
+        """Ask, as entry box, whether a call may run; the reply is a :class:`DecideCall`.
 
         ``key_created_at`` is when the caller made the key, None if this box made it for this
         call: such a key cannot have run before.
@@ -140,7 +140,7 @@
         return self._send_begin(row, key, token, now, lookup_only=False)
 
     def finish_call(self, finish: Finish, now: float) -> list[Command]:
-        """Entry side: what came of a call; repeated until the first box has it."""
+        """Send, as entry box, a call's outcome; it is resent until the first box confirms it."""
         row = self._rows_by_index.get(range_of(finish.key))
         if row is None:
             return []
@@ -150,7 +150,7 @@
         return [SendPeer(box=row.first.box, body=body)]
 
     def receive(self, sender: str, body: Body, now: float) -> list[Command]:
-        """Take in any message of this system."""
+        """Handle any message of this system."""
         match body:
             case Begin():
                 return self._begin(sender, body, now)
@@ -165,7 +165,7 @@
         return []
 
     def tick(self, now: float) -> list[Command]:
-        """Repeat what was not answered, synchronise new seconds, drop old records."""
+        """Resend unanswered messages, synchronise new second boxes, drop expired records."""
         commands = self._resend_unanswered(now)
         if now >= self._next_sync_at:
             self._next_sync_at = now + SYNC_INTERVAL_S
@@ -178,7 +178,8 @@
     def _send_begin(
         self, row: RangeRow, key: str, token: str, now: float, *, lookup_only: bool
     ) -> list[Command]:
-        # An old key may only be looked up: an empty token asks for that.
+        # A negative epoch asks the first box only to look the key up, for keys that are too old
+        # to be allowed to run.
         body = Begin(key=key, token=token, epoch=-row.epoch if lookup_only else row.epoch)
         self._pending_by_token[token] = PendingMessage(
             key=key, body=body, first_sent_at=now, last_sent_at=now
@@ -230,7 +231,10 @@
         return [SendPeer(box=sender, body=answer)]
 
     def _write_record(self, body: Mirror | Finish, now: float) -> bool:
-        """Write a record; false if another try holds the key or a later phase is known."""
+        """Store a record; return false if another try holds the key.
+
+        A record in a later phase is kept, and counts as stored.
+        """
         held = self.records_by_key.get(body.key)
         phase = Phase(body.phase)
         if held is not None and held.token != body.token:
@@ -331,7 +335,10 @@
         return commands
 
     def _abandon(self, pending: PendingMessage, now: float) -> list[Command]:
-        """Give up on a verdict. The call will never run, so the key may be tried again."""
+        """Give up waiting for a verdict.
+
+        The call will never run, so its key is released and may be tried again.
+        """
         token = pending.body.token
         finish = Finish(
             key=pending.key, token=token, epoch=pending.body.epoch, phase=Phase.ABANDONED
@@ -340,7 +347,7 @@
         return [decide, *self.finish_call(finish, now)]
 
     def _start_epoch(self, row: RangeRow, earlier: RangeRow | None) -> None:
-        """Begin a range's new epoch: keep the records only as the survivor of a pair."""
+        """Start a new epoch of a range; only the surviving member of a pair keeps the records."""
         held = earlier is not None and self.held_epoch_by_range.get(row.index) == earlier.epoch
         keeps_records = held and earlier is not None and row.epoch == earlier.epoch + 1
         starts_empty = row.floor_epoch == row.epoch
--- a/src/croftchute/systems/dedupe_map.py
+++ b/src/croftchute/systems/dedupe_map.py
@@ -1,8 +1,8 @@
-"""Which pair of boxes keeps each key range: the first map, and the replacement of lost members.
+"""The map of key ranges to pairs of boxes: its first version, and replacement of lost members.
 
-A range is only ever moved by a member that holds all its records, or, when both members are
-known to have ended, under a floor that makes all earlier keys unknown. A box that is merely
-silent has not ended: it may be cut off and still serve its callers.
+A range is moved only by a member that has all its records. If both members are known to have
+ended, it is moved under a floor: the outcome of keys created before it is then unknown. A silent
+box has not necessarily ended; it may be partitioned and still serve its callers.
 """
 
 from __future__ import annotations
@@ -19,9 +19,11 @@
 
 
 def initial_rows(members_by_hall: Mapping[str, Iterable[BoxIncarnation]]) -> tuple[RangeRow, ...]:
-    """Rows for an empty store: ranges are dealt to halls, pairs to boxes; () without two boxes.
+    """Return the rows for an empty store, or () if there are fewer than two boxes.
 
-    No floor is needed, since nothing can have run before there was a map.
+    Ranges are distributed over the halls with at least two boxes, and each is assigned a pair of
+    boxes of its hall; if no hall has two, pairs are formed across halls. No floor is needed,
+    since no call can have run before the first map.
     """
     groups = {hall: list(members) for hall, members in sorted(members_by_hall.items())}
     pairs = [group for group in groups.values() if len(group) > 1]
@@ -61,7 +63,7 @@
     replacements: list[BoxIncarnation],
     now: float,
 ) -> tuple[RangeRow, ...]:
-    """All rows with the changes that this box may propose; the same rows if there are none."""
+    """Return all rows with the changes that this box may propose, or unchanged."""
     return tuple(
         _repaired(
             row,
--- a/src/croftchute/systems/entry.py
+++ b/src/croftchute/systems/entry.py
@@ -1,4 +1,4 @@
-"""The entry side: finds a shard for each request, follows its attempts, retries and gives up."""
+"""The entry side of requests: reservation on a shard, attempts, retries and refusal."""
 
 from __future__ import annotations
 
@@ -35,19 +35,19 @@
 ASK_INTERVAL_S = 0.06
 MAX_ASKS_PER_SHARD = 2
 LAST_SHARD_ASK_INTERVAL_S = 0.4
-"""Seconds between two askings of the last shard for an answer that has begun: an owner on a busy
-machine was seen to answer after 0.3 to 0.5 s."""
+"""Interval at which the last shard is asked again to resume an answer. An owner on a busy machine
+took 0.3 to 0.5 s to reply."""
 
 MAX_RESUME_WAIT_S = 2.0
-"""Seconds for which an answer that has begun waits for a place: as long as callers of streams
-bear a gap. Without a place for that long it is given up, since engines may be gone for good."""
+"""Longest wait for a reservation that resumes an answer: callers of streams tolerate a gap of this
+length. After it the request is given up, because the engines may be gone for good."""
 
 MAX_ATTEMPTS = 4
 FINAL_DECLINE_CODES = (Code.DEADLINE_PASSED, Code.POLICY_REFUSED, Code.MODEL_UNKNOWN)
 
 
 class RequestEntry:
-    """The requests that came in at this box and are still open."""
+    """The open requests that this box received from callers."""
 
     def __init__(
         self,
@@ -75,7 +75,7 @@
         return f"RequestEntry(box={self.box!r}, open={len(self.open_by_id)})"
 
     def request_received(self, request: Request, now: float) -> list[Command]:
-        """Begin to place a request, or refuse it at once."""
+        """Ask a shard for a reservation, or refuse the request at once."""
         event = Event(kind=Kind.REQUEST_ARRIVED, request_id=request.id, detail=request.model)
         commands: list[Command] = [EmitEvent(event=event)]
         refused_s = self.crashes.refused_s(request, now)
@@ -95,7 +95,7 @@
         return commands + self._ask_next_shard(row, now)
 
     def reservation_granted(self, sender: str, body: Granted, now: float) -> list[Command]:
-        """A place was granted: start the attempt, or give the place back if it came late."""
+        """Start the attempt, or release the reservation if the grant came too late."""
         row = self.open_by_id.get(body.request_id)
         is_expected = (
             row is not None
@@ -140,7 +140,7 @@
         return [EmitEvent(event=event), StartAttempt(plan=plan)]
 
     def reservation_declined(self, body: Declined, now: float) -> list[Command]:
-        """A shard had no place: try the next one, or give the request up."""
+        """Ask the next shard after a decline, or give the request up."""
         row = self.open_by_id.get(body.request_id)
         if row is None or row.state is not RequestState.CHOOSING:
             return []
@@ -163,13 +163,13 @@
         return commands + self._give_up(row, body.code, now)
 
     def record_delivered(self, request_id: str, delivered: int) -> None:
-        """Note how many output tokens the caller has, for a later resume."""
+        """Store how many output tokens the caller has, so that a retry resumes after them."""
         row = self.open_by_id.get(request_id)
         if row is not None:
             self.open_by_id[request_id] = changed(row, delivered=delivered)
 
     def attempt_ended(self, end: AttemptEnd, now: float) -> list[Command]:
-        """An attempt is over: finish the request, retry it, or give it up."""
+        """Finish, retry or give up a request whose attempt has ended."""
         row = self.open_by_id.get(end.request_id)
         if row is None or row.plan is None or row.attempt != end.attempt:
             return []
@@ -192,7 +192,7 @@
         return commands + self._retry(row, end, now)
 
     def caller_left(self, request_id: str, now: float) -> list[Command]:
-        """The caller has left: cancel whatever runs for it."""
+        """Cancel the attempt of a request whose caller has disconnected."""
         row = self.open_by_id.get(request_id)
         if row is None:
             return []
@@ -204,14 +204,14 @@
         return commands
 
     def answer_audit(self, sender: str, body: Audit) -> list[Command]:
-        """Tell an owner which of the attempts it asks about are open here."""
+        """Reply to an owner's audit with the attempts that are open at this box."""
         still_open = tuple(key for key in body.keys if self._is_open(key, body.shard))
         return [
             SendPeer(box=sender, body=Audited(shard=body.shard, asked=body.keys, open=still_open))
         ]
 
     def announce_attempts(self, shard: str, owner: str, now: float) -> list[Command]:
-        """Tell a shard's new owner of all attempts that run there for this box."""
+        """Announce to a shard's new owner all attempts that this box runs on the shard."""
         commands: list[Command] = []
         for row in self.open_by_id.values():
             if row.plan is None or row.plan.shard != shard:
@@ -232,7 +232,7 @@
         return commands
 
     def tick(self, now: float) -> list[Command]:
-        """Ask again where an owner is silent, then elsewhere; give up past the deadline."""
+        """Ask silent owners again, then the next shard; give up requests past their deadline."""
         commands: list[Command] = []
         for request_id in list(self.choosing_ids):
             row = self.open_by_id[request_id]
@@ -251,7 +251,10 @@
         return commands
 
     def _return_unknown_engines(self, row: OpenRequest, body: Granted, now: float) -> list[Command]:
-        """The owner has a newer configuration: give the place back and try elsewhere."""
+        """Release a grant that names unknown engines, and ask the next shard.
+
+        The owner then has a newer configuration than this box.
+        """
         commands = [self._release_asked(row)]
         declined = Declined(
             request_id=body.request_id,
@@ -268,7 +271,10 @@
         return self._send_reserve(row, now)
 
     def _schedule_next_ask(self, row: OpenRequest, now: float) -> list[Command]:
-        """Let an answer that has begun wait for a place, at any engine that may be back."""
+        """Wait before the last shard is asked again to resume an answer.
+
+        Engines that failed earlier attempts are allowed again, as they may have recovered.
+        """
         asks = max(row.asks, MAX_ASKS_PER_SHARD)
         self.open_by_id[row.request.id] = changed(row, asked_at=now, asks=asks, avoid=())
         return []
--- a/src/croftchute/systems/owner.py
+++ b/src/croftchute/systems/owner.py
@@ -1,4 +1,4 @@
-"""The owner's side: grants, releases and checks reservations on the shards this box owns."""
+"""The owner's side of reservations: grants, releases and audits them on this box's shards."""
 
 from __future__ import annotations
 
@@ -45,7 +45,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class PolicyOrder:
-    """What a policy made of a shortlist; ``failure`` says why the built-in order was kept."""
+    """A policy's order of a shortlist; ``failure`` says why the built-in order was kept."""
 
     placements: Sequence[Placement]
     failure: str = ""
@@ -55,7 +55,7 @@
 
 
 class ShardOwner:
-    """The shards that this box owns: it alone grants places on their engines."""
+    """The shards that this box owns; no other box grants reservations on their engines."""
 
     def __init__(self, *, box: str, cancels: CancelTracker, topology: Topology) -> None:
         self.box = box
@@ -75,7 +75,7 @@
         return f"ShardOwner(box={self.box!r}, shards={sorted(self.taken_at_by_shard)!r})"
 
     def set_shards(self, topology: Topology, shards: Iterable[Shard], now: float) -> list[Command]:
-        """Own exactly these shards from now on."""
+        """Own exactly these shards from now on; return the events of the change."""
         self.topology = topology
         wanted = {shard.id: shard for shard in shards}
         commands: list[Command] = []
@@ -103,13 +103,16 @@
         return commands
 
     def engine_ids(self) -> list[str]:
-        """Engines of all owned shards."""
+        """Return the engines of all owned shards."""
         return list(self.ledger.loads_by_engine)
 
     def reserve(
         self, sender: str, ask: Reserve, now: float, order_placements: PolicyOrderer | None = None
     ) -> list[Command]:
-        """Grant or decline a place; asked again, it answers again without a second grant."""
+        """Grant or decline a reservation.
+
+        The request is idempotent: a repeated one gets the same grant again.
+        """
         held = self.ledger.reservations_by_key.get(f"{ask.request_id}-{ask.attempt}")
         if held is not None:
             return [SendPeer(box=sender, body=build_granted(held))]
@@ -147,7 +150,7 @@
         return commands + self._grant(sender, ask, needs, placement, now)
 
     def release(self, sender: str, body: Released, now: float) -> list[Command]:
-        """Free what an attempt held; cancel it on its engines unless that is confirmed."""
+        """Free an attempt's reservation; cancel it on its engines unless its end is confirmed."""
         key = f"{body.request_id}-{body.attempt}"
         reservation = self.ledger.remove(key)
         if body.failed_engine:
@@ -171,7 +174,7 @@
         return commands
 
     def adopt_reservation(self, sender: str, body: Announced, now: float) -> list[Command]:
-        """Take over a reservation that an earlier owner granted."""
+        """Take over a reservation that an earlier owner of the shard granted."""
         key = f"{body.request_id}-{body.attempt}"
         if body.shard not in self.taken_at_by_shard or key in self.ledger.reservations_by_key:
             return []
@@ -200,7 +203,7 @@
         return []
 
     def audit_answered(self, body: Audited, now: float) -> list[Command]:
-        """Confirm what an entry box still has open and free what it does not."""
+        """Confirm the reservations that an entry box still has open; cancel those it closed."""
         still_open = set(body.open)
         self.ledger.confirm(still_open, now)
         commands: list[Command] = []
@@ -210,7 +213,7 @@
         return commands
 
     def entry_box_gone(self, box: str, now: float) -> list[Command]:
-        """An entry box died or was restarted: nobody waits for its requests any more."""
+        """Cancel all reservations of an entry box that died or was restarted."""
         commands: list[Command] = []
         for key in sorted(self.ledger.keys_by_entry.get(box, ())):
             commands += self._drop_orphan(key, f"entry box {box} gone", now)
@@ -219,7 +222,7 @@
     def engine_reported(
         self, engine_id: str, report: EngineReport, events: Iterable[CacheEvent], now: float
     ) -> list[Command]:
-        """Take in an engine's load report and its cache events."""
+        """Apply an engine's load report and cache events; cancel attempts unknown here."""
         engine = self.topology.engines_by_id.get(engine_id)
         if engine is None or engine_id not in self.ledger.loads_by_engine:
             return []
@@ -230,12 +233,12 @@
         return self._cancel_unknown_attempts(engine_id, report, now)
 
     def engine_unreachable(self, engine_id: str, now: float) -> list[Command]:
-        """An engine cannot be reached: no new work for a while."""
+        """Send no new work for a while to an engine that could not be reached."""
         self.ledger.mark_unreachable(engine_id, now)
         return [EmitEvent(event=Event(kind=Kind.UPSTREAM_FAILED, upstream=engine_id))]
 
     def tick(self, now: float) -> list[Command]:
-        """Ask entry boxes about old reservations and drop those past their deadline."""
+        """Audit old reservations at their entry boxes; drop those past their deadline."""
         if now < self._next_audit_at:
             return []
         self._next_audit_at = now + AUDIT_INTERVAL_S
@@ -251,7 +254,7 @@
         return commands
 
     def digests(self, now: float) -> tuple[ShardDigest, ...]:
-        """What other boxes need to know of the owned shards."""
+        """Return digests of the owned shards for other boxes."""
         return tuple(self._digest(shard, now) for shard in self.taken_at_by_shard)
 
     def _digest(self, shard_id: str, now: float) -> ShardDigest:
@@ -285,7 +288,7 @@
         if wait > ask.time_left_s:
             return Code.DEADLINE_PASSED
         if ask.attempt > 1:
-            # It was admitted once; the retry budget limits these, not the target.
+            # The request was admitted before. Retries are limited by the retry budget instead.
             return None
         pressure = self.pressure_by_shard[ask.shard]
         service = placement.service_s
@@ -396,7 +399,7 @@
     def _cancel_unknown_attempts(
         self, engine_id: str, report: EngineReport, now: float
     ) -> list[Command]:
-        """Cancel work that nobody answers for."""
+        """Cancel attempts that an engine runs although no reservation has existed for a while."""
         commands: list[Command] = []
         held = self.ledger.reservations_by_key
         for key in self._unknown_attempts.overdue(engine_id, report, held, now):
