--- a/tests/systems/test_box.py
+++ b/tests/systems/test_box.py
@@ -41,8 +41,8 @@
     return [command for command in commands if isinstance(command, CancelAttempt)]
 
 
-def test_a_box_not_yet_heard_is_not_taken_for_dead():
-    """A box that had just started cancelled the work of all boxes it had not heard yet."""
+def test_a_box_without_a_first_heartbeat_is_not_suspected():
+    """A box that had just started cancelled the attempts of all boxes not yet heard from."""
     made = make_systems(peers=(OTHER, THIRD))
     made.receive(OTHER, reserve_body("r"), 0.1)
     commands = made.receive(THIRD, heartbeat(), 0.2) + made.tick(0.3)
@@ -50,14 +50,14 @@
     assert list(made.owner.ledger.reservations_by_key) == ["r-1"]
 
 
-def test_a_box_that_falls_silent_has_its_work_cancelled():
+def test_attempts_of_a_silent_box_are_cancelled():
     made = make_systems()
     made.receive(OTHER, heartbeat(), 0.1)
     made.receive(OTHER, reserve_body("r"), 0.2)
     assert cancel_commands(made.tick(5.0))
 
 
-def test_a_restarted_box_has_its_earlier_work_cancelled():
+def test_earlier_attempts_of_a_restarted_box_are_cancelled():
     made = make_systems(peers=(OTHER,))
     made.receive(OTHER, reserve_body("r"), 0.1)
     made.receive(OTHER, heartbeat(incarnation=5), 0.2)
@@ -65,14 +65,14 @@
     assert cancel_commands(commands)
 
 
-def test_an_older_incarnation_changes_nothing():
+def test_a_heartbeat_of_an_older_incarnation_is_ignored():
     made = make_systems()
     made.receive(OTHER, heartbeat(incarnation=6), 0.1)
     made.receive(OTHER, heartbeat(incarnation=5, leaving=True), 0.2)
     assert made.membership.boxes_by_id[OTHER].state is BoxState.LIVE
 
 
-def test_a_configuration_never_goes_back():
+def test_an_older_configuration_is_ignored():
     made = make_systems()
     document = OBERBAYERN.document(shard_engines=8)
     assert made.apply_config(document, 7, 1.0)
--- a/tests/systems/test_dedupe.py
+++ b/tests/systems/test_dedupe.py
@@ -1,4 +1,7 @@
-"""At most once, walked at random: any order, loss, doubling, restarts, wrong suspicion."""
+"""At-most-once execution under random schedules.
+
+Messages are reordered, lost and duplicated, boxes restart, and live boxes are suspected.
+"""
 
 import random
 from dataclasses import replace
@@ -18,7 +21,7 @@
 
 
 class RandomWalk:
-    """A store, four boxes and a bag of messages under way."""
+    """A store, four boxes and the messages in flight, stepped at random."""
 
     def __init__(self, seed, kind=Deduplicator):
         self.rng = random.Random(seed)
@@ -133,14 +136,14 @@
     return max(walk.runs_by_key.values(), default=0), sum(walk.runs_by_key.values())
 
 
-def test_no_key_runs_twice_whatever_happens():
+def test_no_key_runs_twice_under_random_schedules():
     results = [max_runs_and_total(seed) for seed in range(120)]
     assert max(most for most, _ in results) == 1
     assert sum(total for _, total in results) > 100
 
 
 class GrantsWithoutSecond(Deduplicator):
-    """Broken: lets a call run without the second's word."""
+    """Faulty: allows a call before the second box has stored its record."""
 
     def _begin(self, sender, body, now):
         self._sender_by_message[body.token, Phase.GRANTED] = sender
@@ -160,14 +163,14 @@
 
 
 class IgnoresFloor(Deduplicator):
-    """Broken: runs keys from before a range lost both its boxes."""
+    """Faulty: allows keys that were created before a range lost both its boxes."""
 
     def begin_call(self, key, token, key_created_at, now):
         return super().begin_call(key, token, None, now)
 
 
 class AcceptsAnyEpoch(Deduplicator):
-    """Broken: a second that answers to any epoch."""
+    """Faulty: the second box accepts any epoch."""
 
     def _mirror(self, sender, body, now):
         row = self._rows_by_index.get(0)
@@ -178,17 +181,17 @@
 
 
 @pytest.mark.parametrize("kind", [GrantsWithoutSecond, IgnoresFloor, AcceptsAnyEpoch])
-def test_a_broken_variant_is_found_out(kind):
+def test_a_faulty_variant_runs_a_key_twice(kind):
     assert any(max_runs_and_total(seed, kind)[0] > 1 for seed in range(400))
 
 
-def test_a_key_from_the_future_is_refused():
+def test_a_key_created_in_the_future_is_refused():
     walk = RandomWalk(1)
     (decided,) = walk.boxes["a"].begin_call("k", "t", walk.now + MAX_CLOCK_SKEW_S + 1, walk.now)
     assert (decided.decision, decided.code) == (Decision.REFUSE, "key_invalid")
 
 
-def test_without_the_second_nothing_runs_and_the_caller_hears_soon():
+def test_a_call_is_refused_soon_if_the_second_box_does_not_answer():
     walk = RandomWalk(2)
     walk.in_flight.clear()
     walk.boxes["a"].begin_call("key-x", "t9", walk.now, walk.now)
--- a/tests/systems/test_dedupe_naive.py
+++ b/tests/systems/test_dedupe_naive.py
@@ -1,4 +1,4 @@
-"""Without faults, a pair of boxes says what one dictionary would say."""
+"""Without faults, the boxes of a range give the verdicts that a single dictionary would."""
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -21,7 +21,7 @@
 
 
 class DictDeduplicator:
-    """One dictionary that knows everything at once."""
+    """Reference model: one dictionary of phases by key."""
 
     def __init__(self):
         self.phase_by_key = {}
@@ -43,7 +43,7 @@
 
 
 class ConnectedBoxes:
-    """Three boxes whose messages are all delivered at once."""
+    """Three boxes whose messages are delivered immediately."""
 
     def __init__(self):
         self.boxes = {name: Deduplicator(box=name, incarnation=1) for name in "abc"}
@@ -68,7 +68,7 @@
 
 @settings(max_examples=80)
 @given(STEPS)
-def test_the_pair_says_what_a_dictionary_says(steps):
+def test_verdicts_match_a_dictionary(steps):
     connected, naive = ConnectedBoxes(), DictDeduplicator()
     for number, (box, key, end, delivers) in enumerate(steps):
         token = f"t{number}"
--- a/tests/systems/test_entry.py
+++ b/tests/systems/test_entry.py
@@ -63,7 +63,7 @@
     return AttemptEnd(**(values | {"failed_engine": "hall-1-decode-0"} | changes))
 
 
-def test_a_silent_owner_is_asked_again_and_then_another():
+def test_a_silent_owner_is_asked_again_before_another_shard_is():
     entry = make_entry()
     (first,) = sent(entry.request_received(request(), 0.0), Reserve)
     (again,) = sent(entry.tick(ASK_INTERVAL_S * 1.1), Reserve)
@@ -75,15 +75,15 @@
 
 
 def tick_until(entry, begin, end, step=0.05):
-    """What ticks bring between two times, with the time of each command."""
+    """Return the commands of the ticks between two times, each with its time."""
     found = []
     for n in range(int((end - begin) / step)):
         found += [(begin + n * step, command) for command in entry.tick(begin + n * step)]
     return found
 
 
-def test_a_begun_answer_waits_for_owners_that_are_slow_until_its_deadline():
-    """Owners of a busy machine answered after 0.4 s; the stream had been cut by then."""
+def test_a_begun_answer_waits_for_slow_owners_until_its_deadline():
+    """Owners on a busy machine replied after 0.4 s, when the stream had already been cut off."""
     entry = make_entry()
     start(entry)
     commands = [(1.0, command) for command in entry.attempt_ended(end(), 1.0)]
@@ -104,7 +104,10 @@
 
 
 def decline_until_refused(entry, code=Code.NO_CAPACITY):
-    """Decline all askings of a begun answer; the time of its refusal, and all askings."""
+    """Decline every reservation for a begun answer.
+
+    Return the time at which the request is refused, and the reservations that were asked for.
+    """
     start(entry)
     now = 1.0
     commands = entry.attempt_ended(end(), now)
@@ -122,7 +125,7 @@
     return None, asks
 
 
-def test_a_begun_answer_that_no_owner_has_a_place_for_waits_two_seconds():
+def test_a_begun_answer_waits_two_seconds_while_all_owners_decline():
     entry = make_entry()
     refused_at, asks = decline_until_refused(entry)
     assert 2.9 < refused_at < 3.6
@@ -131,7 +134,7 @@
     assert not entry.open_by_id
 
 
-def test_a_begun_answer_is_given_up_at_once_where_waiting_cannot_help():
+def test_a_begun_answer_is_given_up_at_once_after_a_final_decline():
     refused_at, _ = decline_until_refused(make_entry(), Code.POLICY_REFUSED)
     assert refused_at == 1.0
 
@@ -145,7 +148,7 @@
     assert not entry.open_by_id
 
 
-def test_a_request_that_has_not_begun_is_refused_soon_if_all_owners_are_silent():
+def test_a_request_without_output_is_refused_soon_if_all_owners_are_silent():
     entry = make_entry()
     entry.request_received(request(), 0.0)
     found = tick_until(entry, 0.0, 3.0)
@@ -153,7 +156,7 @@
     assert (refused.code, refused.ran) == (Code.OWNER_SILENT, Ran.NOT_RUN)
 
 
-def test_a_grant_that_comes_late_is_given_back():
+def test_a_late_grant_is_released():
     entry = make_entry()
     (first,) = sent(entry.request_received(request(), 0.0), Reserve)
     entry.tick(ASK_INTERVAL_S * 1.1)
@@ -163,14 +166,14 @@
     assert not commands_of(commands, StartAttempt)
 
 
-def test_a_repeated_grant_starts_nothing_twice():
+def test_a_repeated_grant_starts_no_second_attempt():
     entry = make_entry()
     asked, commands = start(entry)
     assert len(commands_of(commands, StartAttempt)) == 1
     assert entry.reservation_granted("x", grant(asked), 0.02) == []
 
 
-def test_declined_everywhere_is_refused_at_once_as_not_run():
+def test_a_request_that_all_shards_decline_is_refused_as_not_run():
     entry = make_entry()
     commands = entry.request_received(request(), 0.0)
     while asks := sent(commands, Reserve):
@@ -185,7 +188,7 @@
     assert not entry.open_by_id
 
 
-def test_a_failed_attempt_goes_on_at_the_next_token_elsewhere():
+def test_a_failed_attempt_resumes_at_the_next_token_on_other_engines():
     entry = make_entry()
     start(entry)
     (ask,) = sent(entry.attempt_ended(end(), 1.0), Reserve)
@@ -193,14 +196,14 @@
     assert ask.body.avoid == ("hall-1-decode-0",)
 
 
-def test_an_end_of_an_earlier_attempt_is_ignored():
+def test_the_end_of_an_earlier_attempt_is_ignored():
     entry = make_entry()
     start(entry)
     entry.attempt_ended(end(), 1.0)
     assert entry.attempt_ended(end(ok=True), 1.1) == []
 
 
-def test_retries_end_with_the_budget_and_say_that_it_ran():
+def test_without_retry_budget_requests_are_refused_as_run():
     entry = make_entry()
     refusals = []
     for n in range(40):
@@ -211,7 +214,7 @@
     assert {refusal.ran for refusal in refusals} == {Ran.RAN}
 
 
-def test_a_caller_who_leaves_has_everything_cancelled():
+def test_both_engines_are_cancelled_when_the_caller_disconnects():
     entry = make_entry()
     start(entry)
     commands = entry.caller_left("r", 1.0)
@@ -223,7 +226,7 @@
     assert entry.caller_left("r", 1.1) == []
 
 
-def test_a_cancel_is_repeated_until_it_is_confirmed():
+def test_a_cancellation_is_resent_until_it_is_confirmed():
     cancels = CancelTracker()
     assert cancels.start("d", "r-1", 0.0)
     assert not cancels.tick(0.1)
@@ -232,7 +235,7 @@
     assert not cancels.tick(9.0)
 
 
-def test_without_configuration_nothing_is_run():
+def test_a_request_is_refused_without_a_configuration():
     entry = make_entry()
     entry.topology = build_topology(HALL_AT_TARGET.document(shard_engines=8), revision=0, hall="x")
     (refused,) = commands_of(entry.request_received(request(model="nope"), 0.0), RefuseRequest)
--- a/tests/systems/test_fairness.py
+++ b/tests/systems/test_fairness.py
@@ -13,7 +13,7 @@
 
 
 @given(CHARGES)
-def test_the_meter_says_the_same_as_the_whole_history(charges):
+def test_the_meter_matches_the_decayed_sum_of_all_charges(charges):
     meter, history, now = CallerUsageMeter(), [], 0.0
     for caller, tokens, wait in charges:
         now += wait
@@ -27,7 +27,7 @@
         assert isclose(meter.excess(caller, now), used / (total / weights), abs_tol=1e-6)
 
 
-def test_state_is_dropped_when_callers_are_idle():
+def test_state_of_idle_callers_is_dropped():
     meter = CallerUsageMeter()
     for n in range(MAX_METERED_CALLERS + 10):
         meter.charge(f"c{n}", 10.0, weight=1.0, now=n * 0.1)
@@ -40,11 +40,11 @@
     return max_queue_s(**values)
 
 
-def test_under_pressure_the_heavy_and_the_unimportant_wait_less():
+def test_under_pressure_heavy_callers_and_low_priorities_may_queue_less():
     assert max_queue_with(priority=0) < max_queue_with(priority=9)
     assert max_queue_with(excess=8.0) < max_queue_with(excess=1.0)
     assert max_queue_with(excess=8.0, priority=0, pressure=0.0) == max_queue_with()
 
 
-def test_work_that_cannot_meet_the_target_is_refused_at_any_pressure():
+def test_a_request_that_cannot_meet_the_target_is_refused_at_any_pressure():
     assert max_queue_with(service_s=0.5, pressure=0.0) < 0
--- a/tests/systems/test_membership.py
+++ b/tests/systems/test_membership.py
@@ -1,4 +1,4 @@
-"""Which boxes count as live, also after this box itself was held up."""
+"""Suspicion of silent boxes, also after this box itself was stalled."""
 
 from croftchute.peers.messages import Heartbeat
 from croftchute.systems.membership import Membership
@@ -35,15 +35,15 @@
     return found
 
 
-def test_a_silent_box_is_suspected_after_its_time():
+def test_a_silent_box_is_suspected_after_the_timeout():
     membership = make_membership()
     ((when, box),) = suspicions_until(membership, 0.0, 3.0)
     assert box == "other"
     assert SUSPECT_AFTER_S < when < SUSPECT_AFTER_S + 0.2
 
 
-def test_a_box_that_was_held_up_itself_suspects_nobody_at_once():
-    """Streams were cancelled for entry boxes that were alive, on a machine at its limit."""
+def test_a_box_that_was_stalled_itself_suspects_no_box_at_once():
+    """On an overloaded machine, boxes cancelled streams of entry boxes that were alive."""
     membership = make_membership()
     membership.suspect_silent(0.1)
     assert membership.suspect_silent(2.6) == []
@@ -51,7 +51,7 @@
     assert suspicions_until(membership, 2.7, 3.5) == []
 
 
-def test_a_box_that_died_meanwhile_is_suspected_in_the_whole_time_after_a_pause():
+def test_a_box_that_died_during_a_stall_is_suspected_a_full_timeout_later():
     membership = make_membership()
     membership.suspect_silent(0.1)
     ((when, _),) = suspicions_until(membership, 2.6, 6.0)
--- a/tests/systems/test_owner.py
+++ b/tests/systems/test_owner.py
@@ -69,7 +69,7 @@
     return Released(**(values | {"confirmed": True} | changes))
 
 
-def test_asking_twice_grants_once(owner):
+def test_a_repeated_request_gets_the_same_grant(owner):
     first = body_of(owner.reserve("e", reserve_message("r"), 1.0))
     again = body_of(owner.reserve("e", reserve_message("r"), 1.1))
     assert isinstance(first, Granted)
@@ -77,12 +77,12 @@
     assert len(owner.ledger.reservations_by_key) == 1
 
 
-def test_a_shard_that_is_not_owned_is_declined(owner):
+def test_a_request_for_a_shard_that_is_not_owned_is_declined(owner):
     declined = body_of(owner.reserve("e", reserve_message("r", shard="pool/7"), 1.0))
     assert declined.code is Code.NOT_OWNER
 
 
-def test_an_engine_to_avoid_and_a_failed_engine_get_nothing(owner):
+def test_avoided_and_failed_engines_get_no_work_while_others_are_usable(owner):
     owner.reserve("e", reserve_message("r"), 1.0)
     first = owner.ledger.reservations_by_key["r-1"].decode_id
     owner.release("e", release_message("r", failed_engine=first, confirmed=False), 1.0)
@@ -90,13 +90,13 @@
     second = owner.ledger.reservations_by_key["r-2"].decode_id
     assert second != first
     owner.reserve("e", reserve_message("s", avoid=(second,)), 1.1)
-    # The first engine has just failed; the second is to be avoided, but better than none.
+    # The first engine has just failed. The second should be avoided, but no other is usable.
     assert owner.ledger.reservations_by_key["s-1"].decode_id == second
     owner.reserve("e", reserve_message("t", avoid=(second,)), 3.0)
     assert owner.ledger.reservations_by_key["t-1"].decode_id == first
 
 
-def test_memory_is_never_promised_twice(owner):
+def test_grants_never_exceed_slots_and_memory(owner):
     granted = 0
     for n in range(200):
         granted += isinstance(
@@ -109,7 +109,7 @@
     assert 0 < granted < 200
 
 
-def test_a_box_that_is_gone_leaves_nothing_behind(owner):
+def test_all_reservations_of_a_dead_entry_box_are_cancelled(owner):
     owner.reserve("e", reserve_message("r"), 1.0)
     held = owner.ledger.reservations_by_key["r-1"]
     commands = owner.entry_box_gone("e", 2.0)
@@ -117,7 +117,7 @@
     assert not owner.ledger.reservations_by_key
 
 
-def test_an_audit_frees_what_the_entry_box_has_closed(owner):
+def test_an_audit_frees_the_attempts_that_the_entry_box_has_closed(owner):
     owner.reserve("e", reserve_message("r"), 1.0)
     owner.reserve("e", reserve_message("s"), 1.0)
     audit = body_of(owner.tick(20.0))
@@ -126,7 +126,7 @@
     assert list(owner.ledger.reservations_by_key) == ["s-1"]
 
 
-def test_work_that_nobody_announces_is_cancelled_after_a_grace(owner):
+def test_an_unknown_attempt_is_cancelled_after_a_grace_period(owner):
     report = EngineReport(
         as_of=5.0, running=1, kv_used_tokens=9, prefill_backlog_tokens=0, request_ids=("x-1",)
     )
@@ -136,7 +136,7 @@
     assert cancelled_attempts(owner.engine_reported(engine, late, (), 8.0)) == {(engine, "x-1")}
 
 
-def test_an_announced_attempt_is_no_orphan(owner):
+def test_an_announced_attempt_is_not_cancelled(owner):
     engine = owner.engine_ids()[0]
     body = Announced(
         request_id="x",
@@ -158,7 +158,7 @@
         assert not cancelled_attempts(owner.engine_reported(engine, report, (), at))
 
 
-def test_a_report_counts_only_the_grants_it_could_not_see(owner):
+def test_only_grants_later_than_a_report_are_added_to_it(owner):
     engine = next(f for f in owner.topology.engines_by_id.values() if f.prefills)
     owner.reserve("e", reserve_message("r", prompt_tokens=1200), 10.0)
     cost = 1200 / engine.prefill_tokens_per_s
@@ -171,7 +171,7 @@
 
 @settings(max_examples=60)
 @given(st.lists(st.tuples(st.integers(0, 15), st.booleans(), st.integers(50, 3000)), max_size=60))
-def test_the_sums_are_those_of_the_reservations(steps):
+def test_the_loads_match_the_sums_of_the_reservations(steps):
     owner = make_owner()
     for now, (number, adds, tokens) in enumerate(steps):
         if adds:
@@ -185,7 +185,7 @@
             assert isclose(load.kv_committed, sum(r.kv_committed for r in own), abs_tol=1e-6)
 
 
-def test_an_engine_that_asked_for_rest_gets_nothing_until_it_is_over(owner):
+def test_an_engine_gets_no_work_during_the_backoff_that_it_asked_for(owner):
     granted = body_of(owner.reserve("e", reserve_message("r"), 1.0))
     names = owner.topology.engine_ids_by_hash
     prefill, decode = names[granted.prefill_hash], names[granted.decode_hash]
@@ -201,7 +201,7 @@
     assert owner.ledger.loads_by_engine[prefill].accepts_work(2.0)
 
 
-def test_where_all_engines_rest_the_first_end_of_a_rest_is_told(owner):
+def test_retry_after_is_the_earliest_end_if_all_engines_back_off(owner):
     engines = owner.topology.shards_by_id[SHARD].engine_ids
     for n, engine in enumerate(engines):
         owner.ledger.back_off(engine, 30.0 + n, 1.0)
--- a/tests/systems/test_prefix_index.py
+++ b/tests/systems/test_prefix_index.py
@@ -16,7 +16,7 @@
 
 
 class ReferenceIndex:
-    """Marks every entry doubtful one by one at a gap, with no bound and no eras."""
+    """Reference model: marks each entry stale at a gap; no bound and no generations."""
 
     def __init__(self):
         self.is_fresh_by_block = {}
@@ -43,7 +43,7 @@
 
 
 @given(EVENTS, st.lists(BLOCKS, max_size=6))
-def test_the_index_says_the_same_as_a_naive_one(steps, prefix):
+def test_the_index_matches_the_reference_model(steps, prefix):
     index, reference = PrefixIndex(), ReferenceIndex()
     seq = 5
     for step, stored, evicted in steps:
--- a/tests/systems/test_sharding.py
+++ b/tests/systems/test_sharding.py
@@ -29,11 +29,11 @@
     for removed in boxes:
         after = assign_evenly(SHARDS, [box for box in boxes if box != removed])
         moved.append(sum(before[s] != after[s] for s in SHARDS))
-    # An even move would be 58 / 72 of a shard; the bound on shares adds a little.
+    # Each box owns 58 / 72 of a shard on average. The bound on shares moves a few more.
     assert sum(moved) / len(moved) <= 3
 
 
-def test_an_engine_of_another_hall_is_not_in_the_topology():
+def test_the_topology_has_no_engines_of_other_halls():
     document = OBERBAYERN.document(shard_engines=8)
     topology = build_topology(document, revision=1, hall="halle-b")
     assert {engine.hall for engine in topology.engines_by_id.values()} == {"halle-b"}
