--- a/src/croftchute/systems/box.py
+++ b/src/croftchute/systems/box.py
@@ -55,11 +55,16 @@
 from croftchute.timeline.events import Event, Kind
 
 ANNOUNCE_DELAYS_S = (0.0, 0.5, 1.5)
+"""When attempts are announced to a shard's new owner; more than once, as messages may be lost."""
+
 FETCH_INTERVAL_S = 0.3
 REPAIR_INTERVAL_S = 1.0
 RELAYS_PER_HALL = 2
 FIRST_FULL_HEARTBEATS = 10
+"""Heartbeats after a start that all carry the address; later ones leave it out to save bytes."""
+
 FULL_HEARTBEAT_EVERY = 8
+"""After the first heartbeats, every one whose number is a multiple of this carries the address."""
 
 
 class BoxSystems:
@@ -339,9 +344,9 @@
             return ids
         boxes = self.membership.boxes_by_id.values()
         for hall in sorted({box.hall for box in boxes if box.hall != self.own.hall}):
-            there = [box.id for box in boxes if box.hall == hall]
-            live = [box for box in there if self.membership.is_live(box)]
-            ids += rank("relay", live or there)[:RELAYS_PER_HALL]
+            hall_ids = [box.id for box in boxes if box.hall == hall]
+            live_ids = [box for box in hall_ids if self.membership.is_live(box)]
+            ids += rank("relay", live_ids or hall_ids)[:RELAYS_PER_HALL]
         return ids
 
     def apply_range_map(self, known: RangeMap, now: float) -> list[Command]:
@@ -379,8 +384,8 @@
 
     def _replacement_members(self) -> list[BoxIncarnation]:
         members = self._members_by_hall()
-        near = members.get(self.own.hall, [])
-        return near if len(near) > 1 else [m for group in members.values() for m in group]
+        own_hall = members.get(self.own.hall, [])
+        return own_hall if len(own_hall) > 1 else [m for group in members.values() for m in group]
 
     def _members_by_hall(self) -> dict[str, list[BoxIncarnation]]:
         members: dict[str, list[BoxIncarnation]] = {}
--- a/src/croftchute/systems/dedupe_map.py
+++ b/src/croftchute/systems/dedupe_map.py
@@ -26,14 +26,16 @@
     since no call can have run before the first map.
     """
     groups = {hall: list(members) for hall, members in sorted(members_by_hall.items())}
-    pairs = [group for group in groups.values() if len(group) > 1]
-    if not pairs:
-        everyone = [member for group in groups.values() for member in group]
-        pairs = [everyone] if len(everyone) > 1 else []
-    if not pairs:
+    candidate_groups = [group for group in groups.values() if len(group) > 1]
+    if not candidate_groups:
+        all_members = [member for group in groups.values() for member in group]
+        candidate_groups = [all_members] if len(all_members) > 1 else []
+    if not candidate_groups:
         return ()
     return tuple(
-        _assign_pair(index, epoch=1, floor=0.0, members=pairs[index % len(pairs)])
+        _assign_pair(
+            index, epoch=1, floor=0.0, members=candidate_groups[index % len(candidate_groups)]
+        )
         for index in range(RANGES)
     )
 
--- a/src/croftchute/systems/ledger.py
+++ b/src/croftchute/systems/ledger.py
@@ -15,6 +15,8 @@
 UNREACHABLE_DURATION_S = 1.0
 CLOSE_AT_KV_FILL = 0.97
 REOPEN_AT_KV_FILL = 0.92
+"""Share of used KV memory below which a full engine accepts work again; lower than
+``CLOSE_AT_KV_FILL``, so that an engine does not alternate between the two states."""
 
 
 class Ledger:
@@ -124,11 +126,11 @@
                 load, unreachable_until=now + UNREACHABLE_DURATION_S
             )
 
-    def back_off(self, engine_id: str, rest_s: float, now: float) -> None:
-        """Send no new work to an engine for the ``rest_s`` seconds that it asked for."""
+    def back_off(self, engine_id: str, backoff_s: float, now: float) -> None:
+        """Send no new work to an engine for the ``backoff_s`` seconds that it asked for."""
         load = self.loads_by_engine.get(engine_id)
-        if load is not None and rest_s > 0.0:
-            until = max(load.backoff_until, now + rest_s)
+        if load is not None and backoff_s > 0.0:
+            until = max(load.backoff_until, now + backoff_s)
             self.loads_by_engine[engine_id] = changed(load, backoff_until=until)
 
     def backoff_left_s(self, engine_ids: Iterable[str], now: float) -> float:
@@ -137,8 +139,8 @@
         The result is 0 unless all of them are backing off.
         """
         loads = (self.loads_by_engine.get(engine_id) for engine_id in engine_ids)
-        rests = [max(0.0, load.backoff_until - now) for load in loads if load is not None]
-        return min(rests, default=0.0)
+        left_s = [max(0.0, load.backoff_until - now) for load in loads if load is not None]
+        return min(left_s, default=0.0)
 
     def confirm(self, keys: Iterable[str], now: float) -> None:
         """Note that the entry box has confirmed these reservations."""
--- a/src/croftchute/systems/owner.py
+++ b/src/croftchute/systems/owner.py
@@ -365,9 +365,11 @@
         return SendPeer(box=sender, body=body)
 
     def _retry_after(self, ask: Reserve, now: float) -> float:
-        rest_s = self.ledger.backoff_left_s(self.topology.shards_by_id[ask.shard].engine_ids, now)
-        if rest_s > 0.0:
-            return rest_s
+        backoff_s = self.ledger.backoff_left_s(
+            self.topology.shards_by_id[ask.shard].engine_ids, now
+        )
+        if backoff_s > 0.0:
+            return backoff_s
         wait = self._digest(ask.shard, now).prefill_wait_s
         return max(MIN_RETRY_AFTER_S, min(wait, 10.0))
 
--- a/src/croftchute/systems/shard_digest.py
+++ b/src/croftchute/systems/shard_digest.py
@@ -21,12 +21,12 @@
     decoders = [
         engine for engine in engines if engine.decodes and loads[engine.id].accepts_work(now)
     ]
-    room = [engine.kv_tokens - loads[engine.id].kv_committed for engine in decoders]
+    free_kv = [engine.kv_tokens - loads[engine.id].kv_committed for engine in decoders]
     slots = [engine.slots - loads[engine.id].running for engine in decoders]
     return ShardDigest(
         shard=shard_id,
         at=now,
         prefill_wait_s=min(waits, default=NO_PREFILL_WAIT_S),
-        free_kv_tokens=max(0, round(max(room, default=0.0))),
+        free_kv_tokens=max(0, round(max(free_kv, default=0.0))),
         free_slots=max(0, sum(slots)),
     )
--- a/tests/systems/test_dedupe.py
+++ b/tests/systems/test_dedupe.py
@@ -147,7 +147,7 @@
 
     def _begin(self, sender, body, now):
         self._sender_by_message[body.token, Phase.GRANTED] = sender
-        begun = body.token, body.key
+        token_and_key = body.token, body.key
         if body.key in self.records_by_key:
             return super()._begin(sender, body, now)
         commands = super()._begin(sender, body, now)
@@ -155,7 +155,7 @@
             return commands
 
         class AcceptedMirror:
-            token, key = begun
+            token, key = token_and_key
             epoch = body.epoch
             phase = Phase.GRANTED
 
