--- a/src/croftchute/forwarding/workers/decode_room.py
+++ b/src/croftchute/forwarding/workers/decode_room.py
@@ -18,9 +18,9 @@
     RoomTurn,
 )
 from croftchute.forwarding.workers.worker_control import drop_hold, take_hold
-from croftchute.systems import patience
-from croftchute.systems.patience import ReturnWay
+from croftchute.systems import timeouts
 from croftchute.systems.room_forecast import RoomWait
+from croftchute.systems.timeouts import ReturnMode
 from croftchute.systems.worker_belief import WorkerBelief
 from croftchute.systems.worker_choice import ChoiceInput
 from croftchute.tables.routing import EngineTraits, Stage, Worker
@@ -91,8 +91,8 @@
         run = self.run
         if not is_begun and run.is_ordered:
             return RankedTurn(run=run, use=self._use)
-        pause_s = patience.room_poll(
-            run.route, run.state.ways.returns, before_s=run.before_s, is_begun=is_begun
+        pause_s = timeouts.room_poll_interval_s(
+            run.route, run.state.ways.returns, since_first_try_s=run.before_s, is_begun=is_begun
         )
         return PollingTurn(history=run.state.room(run.service), poll_s=pause_s)
 
@@ -103,13 +103,13 @@
 
     def _rests_end_soon(self) -> bool:
         """Whether a decode worker takes work again while the caller of a begun stream waits."""
-        return 0.0 < self.run.rest_left_s <= patience.RESUME_WAIT_S
+        return 0.0 < self.run.rest_left_s <= timeouts.RESUME_WAIT_S
 
     def _may_wait(self, asked_at: float, *, is_begun: bool) -> bool:
         """Whether to go on waiting for room: it will likely come while the caller wants it."""
         run = self.run
         if is_begun:
-            return run.now - asked_at < min(patience.RESUME_WAIT_S, run.time_left_s)
+            return run.now - asked_at < min(timeouts.RESUME_WAIT_S, run.time_left_s)
         if run.state.is_ending(run.now):
             return False
         mean_wait_s = run.mean_room_wait_s
@@ -118,7 +118,9 @@
             elapsed_s=run.now - run.started_at,
             time_left_s=run.time_left_s,
             reading_s=pace.reading_s(run.facts.prompt_tokens),
-            before_s=run.before_s if run.state.ways.returns is ReturnWay.IN_TIME_FIRST else 0.0,
+            since_first_try_s=(
+                run.before_s if run.state.ways.returns is ReturnMode.IN_TIME_FIRST else 0.0
+            ),
         )
         if wait.is_worthwhile(run.route, mean_wait_s=mean_wait_s):
             return True
@@ -191,7 +193,7 @@
     ) -> bool:
         run = self.run
         facts = run.facts
-        tokens = patience.hold_tokens(
+        tokens = timeouts.hold_tokens(
             facts.prompt_tokens,
             facts.output_tokens,
             facts.expected_output,
@@ -204,7 +206,9 @@
             if self.hold is None:
                 outcome = "no_room"
                 run.full.add(belief.worker.id)
-                run.state.workers.note_full(belief.worker.id, run.now + patience.FULL_FOR_S)
+                run.state.workers.note_full(
+                    belief.worker.id, run.now + timeouts.FULL_WORKER_BACKOFF_S
+                )
                 self._note_full(belief)
         except ExchangeError as error:
             outcome = error.code.value
--- a/src/croftchute/forwarding/workers/end_choice.py
+++ b/src/croftchute/forwarding/workers/end_choice.py
@@ -11,7 +11,7 @@
 from croftchute.forwarding.state import ForwardingState
 from croftchute.forwarding.workers.load_probe import PROBE_TIMEOUT_S, probe_loads
 from croftchute.forwarding.workers.load_reader import KIND_BY_STAGE, usual_answer_s
-from croftchute.systems import patience, predicted_end
+from croftchute.systems import predicted_end, timeouts
 from croftchute.systems.predicted_end import PlacementWay, UsualTimes
 from croftchute.systems.prefill_queue import ReadingTimes
 from croftchute.systems.service_capacity import OWN_READING_PACE
@@ -194,7 +194,7 @@
     reading = state.prefill_pace(service)
     mean_tokens = counts.prompt_tokens / counts.asks if counts.asks else 0.0
     prompt_s = reading.reading_s(math.ceil(mean_tokens)) if mean_tokens > 0.0 else 0.0
-    full_prompts = patience.PREFILL_FULL_TOKENS / mean_tokens if mean_tokens > 0.0 else 0.0
+    full_prompts = timeouts.PREFILL_FULL_TOKENS / mean_tokens if mean_tokens > 0.0 else 0.0
     return UsualTimes(
         answer_s=usual_answer_s([belief for belief in beliefs if belief.worker.stage is None]),
         stream_s=counts.ended_s / counts.ended if counts.ended else 0.0,
--- a/src/croftchute/forwarding/workers/part_reader.py
+++ b/src/croftchute/forwarding/workers/part_reader.py
@@ -7,7 +7,7 @@
 from croftchute.forwarding.http.failures import AnswerLateError
 from croftchute.forwarding.workers.request_run import RequestRun
 from croftchute.forwarding.workers.worker_call import WorkerCall
-from croftchute.systems import patience
+from croftchute.systems import timeouts
 
 
 class PartReader:
@@ -54,8 +54,8 @@
         run = self.run
         if self._last_at is None:
             return min(self.first_wait_s, run.time_left_s)
-        return patience.gap_patience(
-            run.route, time_left_s=run.time_left_s, pause_s=self.call.belief.pause_s
+        return timeouts.gap_timeout_s(
+            run.route, time_left_s=run.time_left_s, usual_gap_s=self.call.belief.pause_s
         )
 
     def _note_part(self) -> None:
--- a/src/croftchute/forwarding/workers/plain_admission.py
+++ b/src/croftchute/forwarding/workers/plain_admission.py
@@ -46,7 +46,7 @@
         work_s=work_s,
         target_left_s=run.route.target_s - run.before_s - (run.now - run.started_at),
         time_left_s=run.time_left_s,
-        is_last_try=run.arrivals > 0 or plain_queue.has_come_back(run.route, run.before_s),
+        is_last_try=run.arrivals > 0 or plain_queue.is_returning_caller(run.route, run.before_s),
     )
     if choice is None:
         return None
--- a/src/croftchute/forwarding/workers/plain_run.py
+++ b/src/croftchute/forwarding/workers/plain_run.py
@@ -16,7 +16,7 @@
 from croftchute.forwarding.workers.plain_admission import admit, refuse_late
 from croftchute.forwarding.workers.request_run import RequestRun
 from croftchute.forwarding.workers.worker_call import WorkerCall
-from croftchute.systems import patience
+from croftchute.systems import timeouts
 from croftchute.systems.worker_belief import WorkerBelief
 from croftchute.systems.worker_choice import ChoiceInput
 from croftchute.tables.routing import HeaderList
@@ -95,7 +95,7 @@
 def _patience(run: RequestRun, belief: WorkerBelief) -> float:
     if not run.route.may_repeat or len(run.workers_sent_to) >= run.route.max_attempts:
         return run.time_left_s
-    return patience.answer_patience(
+    return timeouts.answer_timeout_s(
         run.route, typical_s=belief.latency_s, time_left_s=run.time_left_s
     )
 
--- a/src/croftchute/forwarding/workers/prompt_reader.py
+++ b/src/croftchute/forwarding/workers/prompt_reader.py
@@ -15,7 +15,7 @@
 from croftchute.forwarding.workers.request_run import RequestRun
 from croftchute.forwarding.workers.worker_call import WorkerCall
 from croftchute.forwarding.workers.worker_control import free_handle
-from croftchute.systems import patience
+from croftchute.systems import timeouts
 from croftchute.systems.prefill_queue import ReadingTimes
 from croftchute.systems.worker_belief import WorkerBelief
 from croftchute.systems.worker_choice import ChoiceInput
@@ -99,7 +99,7 @@
     def _may_read_again(self) -> bool:
         """Whether another prefill worker may be asked, after one that surely read nothing."""
         run = self.run
-        if run.now - run.started_at > patience.prefill_retry_limit(run.route):
+        if run.now - run.started_at > timeouts.prefill_retry_limit_s(run.route):
             return False
         leaves_attempt = len(run.workers_sent_to) + 1 < run.route.max_attempts
         return run.arrivals == 0 or (leaves_attempt and run.may_send_again())
@@ -169,7 +169,7 @@
 
     async def _take_handle(self, call: WorkerCall) -> PrefillHandle | None:
         run = self.run
-        wait_s = patience.prefill_patience(run.route, time_left_s=run.time_left_s)
+        wait_s = timeouts.prefill_timeout_s(run.route, time_left_s=run.time_left_s)
         head = await call.head(wait_s)
         body = await call.body(wait_s)
         verdict = run.state.workers_speak.verdict(head)
--- a/src/croftchute/forwarding/workers/request_run.py
+++ b/src/croftchute/forwarding/workers/request_run.py
@@ -10,7 +10,7 @@
 from croftchute.forwarding.state import ForwardingState
 from croftchute.forwarding.workers.end_choice import EndChoice, chooses_by_end
 from croftchute.forwarding.workers.room_report import count_refusal, order_facts
-from croftchute.systems import patience
+from croftchute.systems import timeouts
 from croftchute.systems.fair_shares import ShareVerdict
 from croftchute.systems.room_order import OrderWay, room_rank
 from croftchute.systems.size_lanes import RoomWay, by_lane, is_large
@@ -229,7 +229,7 @@
         full_tokens = 0
         if (engine := self.engine) is not None:
             is_prefill = stage is Stage.PREFILL
-            full_tokens = patience.PREFILL_FULL_TOKENS if is_prefill else engine.kv_tokens
+            full_tokens = timeouts.PREFILL_FULL_TOKENS if is_prefill else engine.kv_tokens
         zone = near or self.state.zone
         return Surroundings(zone=zone, peers=self.state.peers, kv_tokens=full_tokens)
 
@@ -331,16 +331,18 @@
             expected_wait_s = rest_left_s
         retry_after_s = None
         if expected_wait_s is not None:
-            retry_after_s = patience.return_after(expected_wait_s, spread=self.state.rng.random())
+            retry_after_s = timeouts.predicted_retry_after(
+                expected_wait_s, jitter=self.state.rng.random()
+            )
         elif code is Code.ENDS_WORKERS:
             retry_after_s = round(self._refused_s, 3)
         elif code is Code.PROMPT_TOO_LONG:
-            retry_after_s = patience.NEVER_FITS_RETRY_AFTER_S
+            retry_after_s = timeouts.NEVER_FITS_RETRY_AFTER_S
         elif ran is Ran.NOT_RUN:
-            retry_after_s = patience.retry_after(
+            retry_after_s = timeouts.retry_after(
                 self.time_left_s,
                 mean_wait_s=self.mean_room_wait_s if self.full or self.held_back else None,
-                spread=self.state.rng.random(),
+                jitter=self.state.rng.random(),
             )
         refusal = Refusal(code=code, ran=ran, detail=detail, retry_after_s=retry_after_s)
         answer = self.state.callers.refuse(refusal, self.facts.id)
--- a/src/croftchute/forwarding/workers/stream_run.py
+++ b/src/croftchute/forwarding/workers/stream_run.py
@@ -24,7 +24,7 @@
 from croftchute.forwarding.workers.prompt_reader import PromptReader
 from croftchute.forwarding.workers.request_run import RequestRun
 from croftchute.forwarding.workers.worker_call import WorkerCall
-from croftchute.systems import patience
+from croftchute.systems import timeouts
 from croftchute.systems.prefill_queue import ReadingTimes
 from croftchute.systems.worker_belief import WorkerBelief
 from croftchute.systems.worker_choice import ChoiceInput
@@ -79,7 +79,7 @@
         run = self.run
         facts = run.facts
         engine = run.engine
-        if engine is not None and not patience.can_ever_fit(facts.prompt_tokens, engine.kv_tokens):
+        if engine is not None and not timeouts.can_ever_fit(facts.prompt_tokens, engine.kv_tokens):
             self.progress.code = Code.PROMPT_TOO_LONG
             self.progress.detail = (
                 f"a prompt of {facts.prompt_tokens} tokens; an engine keeps {engine.kv_tokens}"
@@ -203,13 +203,13 @@
     def _first_event_patience(self, source: PrefillHandle | None) -> float:
         run = self.run
         if source is not None:
-            return patience.first_event_patience(run.route, time_left_s=run.time_left_s)
+            return timeouts.first_event_timeout_s(run.route, time_left_s=run.time_left_s)
         times = ReadingTimes.predict(
             prompt_tokens=run.facts.prompt_tokens,
             pace=run.state.prefill_pace(run.service),
             wait_s=0.0,
         )
-        return patience.own_reading_patience(
+        return timeouts.decode_reading_timeout_s(
             run.route, predicted_s=times.own_s, time_left_s=run.time_left_s
         )
 
--- a/src/croftchute/forwarding/workers/worker_call.py
+++ b/src/croftchute/forwarding/workers/worker_call.py
@@ -14,7 +14,7 @@
 from croftchute.forwarding.workers.load_reader import note_answer_pace, note_load
 from croftchute.forwarding.workers.request_run import RequestRun
 from croftchute.forwarding.workers.wish_reader import note_displaced, note_wish
-from croftchute.systems import patience
+from croftchute.systems import timeouts
 from croftchute.systems.worker_belief import WorkerBelief
 from croftchute.systems.worker_choice import ChoiceInput
 
@@ -80,7 +80,7 @@
         may_repeat = self.send.is_prefill or self.run.route.may_repeat
         if may_repeat or self.belief.has_rejected_lately(self.run.now):
             return math.inf
-        return patience.ONCE_IDLE_S
+        return timeouts.MAX_ONCE_IDLE_S
 
     async def open(self) -> None:
         """Connect and send; raises :class:`ConnectFailedError` if nothing went out."""
@@ -96,7 +96,7 @@
             worker.port,
             owner=worker.id,
             now=run.now,
-            timeout_s=min(patience.CONNECT_S, run.time_left_s),
+            timeout_s=min(timeouts.CONNECT_TIMEOUT_S, run.time_left_s),
             max_idle_s=self._max_idle_s(),
         )
         self.connection = connection
--- a/src/croftchute/forwarding/workers/worker_control.py
+++ b/src/croftchute/forwarding/workers/worker_control.py
@@ -18,7 +18,7 @@
 from croftchute.forwarding.state import ForwardingState
 from croftchute.forwarding.workers.load_reader import note_told_pace
 from croftchute.forwarding.workers.wish_reader import note_displaced, note_wish
-from croftchute.systems import patience
+from croftchute.systems import timeouts
 from croftchute.tables.routing import Stage, Worker
 
 MAX_CONTROL_BYTES = 1 << 20
@@ -91,7 +91,7 @@
     """
     asking = asyncio.ensure_future(_ask_for_hold(state, worker, tokens, ttl_s))
     try:
-        return await within(asyncio.shield(asking), patience.HOLD_TIMEOUT_S, "no hold")
+        return await within(asyncio.shield(asking), timeouts.HOLD_TIMEOUT_S, "no hold")
     except (AnswerLateError, asyncio.CancelledError):
         state.spawn(_drop_late_hold(state, asking))
         raise
@@ -102,7 +102,7 @@
 ) -> Hold | None:
     data = state.workers_speak.take_hold(worker, tokens, ttl_s)
     status, body = await control_call(
-        state, worker, data, patience.HOLD_TIMEOUT_S, answer_s=max(ttl_s, patience.HOLD_TIMEOUT_S)
+        state, worker, data, timeouts.HOLD_TIMEOUT_S, answer_s=max(ttl_s, timeouts.HOLD_TIMEOUT_S)
     )
     if status != STATUS_OK:
         return None
@@ -140,7 +140,7 @@
     if not await state.permits.take(worker):
         return {}
     data = state.workers_speak.ask_kept(worker)
-    status, body = await control_call(state, worker, data, patience.KEPT_TIMEOUT_S)
+    status, body = await control_call(state, worker, data, timeouts.PREFIX_LIST_TIMEOUT_S)
     return state.workers_speak.kept(body) if status == STATUS_OK else {}
 
 
@@ -151,7 +151,7 @@
     if not await state.permits.take(worker, PermitWish(calls=REPORT_AND_ORDER)):
         return STATUS_NOT_PERMITTED
     status, body = await control_call(
-        state, worker, state.workers_speak.ask_report(worker), patience.CONNECT_S
+        state, worker, state.workers_speak.ask_report(worker), timeouts.CONNECT_TIMEOUT_S
     )
     if status != STATUS_OK:
         return status
@@ -162,7 +162,7 @@
     data = state.workers_speak.stage_order(
         worker, stage, holder=holder, token=token, sequence=report.orders_taken
     )
-    status, _ = await control_call(state, worker, data, patience.ORDER_TIMEOUT_S)
+    status, _ = await control_call(state, worker, data, timeouts.ORDER_TIMEOUT_S)
     return status
 
 
@@ -174,7 +174,7 @@
         state.log.decide(kind, request_id=request_id, outcome="left to lapse", worker=worker.id)
         return
     try:
-        status, _ = await control_call(state, worker, data, patience.CONNECT_S)
+        status, _ = await control_call(state, worker, data, timeouts.CONNECT_TIMEOUT_S)
         outcome = f"status_{status}"
     except ExchangeError as error:
         outcome = error.code.value
--- a/src/croftchute/router_settings.py
+++ b/src/croftchute/router_settings.py
@@ -8,11 +8,11 @@
 import msgspec
 
 from croftchute.errors import Code, DocumentError, Fault
-from croftchute.systems.patience import HoldWay, ReturnWay
 from croftchute.systems.predicted_end import PlacementWay
 from croftchute.systems.room_order import OrderWay
 from croftchute.systems.service_capacity import SplitWay
 from croftchute.systems.size_lanes import RoomWay
+from croftchute.systems.timeouts import HoldMode, ReturnMode
 from croftchute.tables.organisations import LimitWay
 
 Port = Annotated[int, msgspec.Meta(ge=0, le=65535)]
@@ -65,8 +65,8 @@
     limits: LimitWay = LimitWay.POOLED
     room: RoomWay = RoomWay.LANES
     split: SplitWay = SplitWay.AUTO
-    returns: ReturnWay = ReturnWay.RETURNED_FIRST
-    hold: HoldWay = HoldWay.LIKELY
+    returns: ReturnMode = ReturnMode.RETURNED_FIRST
+    hold: HoldMode = HoldMode.LIKELY
     order: OrderWay = OrderWay.AUTO
     placement: PlacementWay = PlacementWay.AUTO
 
--- a/src/croftchute/systems/plain_queue.py
+++ b/src/croftchute/systems/plain_queue.py
@@ -11,7 +11,7 @@
 from collections.abc import Mapping, Sequence
 from dataclasses import dataclass, field
 
-from croftchute.systems.patience import RETURN_SHARE
+from croftchute.systems.timeouts import FIRST_TRY_MIN_TIME_SHARE
 from croftchute.systems.worker_belief import WorkerBelief
 from croftchute.tables.routing import Route
 
@@ -90,9 +90,9 @@
     is_refused: bool = False
 
 
-def has_come_back(route: Route, before_s: float) -> bool:
-    """Whether a caller that first tried ``before_s`` ago was asked back, and can't come again."""
-    return before_s > (1.0 - RETURN_SHARE) * route.timeout_s
+def is_returning_caller(route: Route, since_first_try_s: float) -> bool:
+    """Whether a caller was asked back after its first try, and can't come again."""
+    return since_first_try_s > (1.0 - FIRST_TRY_MIN_TIME_SHARE) * route.timeout_s
 
 
 def is_busy(beliefs: Sequence[WorkerBelief], now: float) -> bool:
--- a/src/croftchute/systems/room_forecast.py
+++ b/src/croftchute/systems/room_forecast.py
@@ -21,20 +21,20 @@
 """Wait taken as usual until some were seen: an engine of a dozen streams of a second or two ends
 one every tenth of a second, and several engines are asked."""
 
-LATE_WAIT_S = 0.4
+MAX_LATE_MEAN_WAIT_S = 0.4
 """Mean time until room up to which a request that is late already goes on waiting: a late answer
 is worth a fifth of one in time, and a wait in vain costs by its length, so room must be near."""
 
-PATIENCE_TARGETS = 4.0
+CALLER_TIMEOUT_TARGETS = 4.0
 """Targets after which callers give a stream up that has not begun (platform)."""
 
-PATIENCE_GAPS = 8.0
+CALLER_TIMEOUT_GAPS = 8.0
 """Longest good pauses after which they do."""
 
-MIN_CALLER_PATIENCE_S = 2.0
+MIN_CALLER_TIMEOUT_S = 2.0
 """Seconds for which they wait in any case."""
 
-LATE_SHARE_OF_PATIENCE = 0.5
+MAX_LATE_WAIT_SHARE = 0.5
 """Share of the caller's patience after which waiting ends: reading and the first event fit the
 rest with a margin for queues."""
 
@@ -95,28 +95,29 @@
 class RoomWait:
     """One request that finds no room: seconds since it came, to its deadline, and to read it.
 
-    ``before_s`` is the time since its caller's first try, 0 if it is to be judged as a first one.
+    ``since_first_try_s`` is the time since its caller's first try, 0 if it is to be judged as a
+    first one.
     """
 
     elapsed_s: float
     time_left_s: float
     reading_s: float
-    before_s: float = 0.0
+    since_first_try_s: float = 0.0
 
     def is_worthwhile(self, route: Route, *, mean_wait_s: float) -> bool:
         """Whether to go on waiting, given the mean time until room comes."""
         if mean_wait_s + self.reading_s > self.time_left_s:
             return False
-        if self.before_s + self.elapsed_s + mean_wait_s + self.reading_s <= route.target_s:
+        if self.since_first_try_s + self.elapsed_s + mean_wait_s + self.reading_s <= route.target_s:
             return True
-        longest_s = LATE_SHARE_OF_PATIENCE * caller_patience(route)
-        return mean_wait_s <= LATE_WAIT_S and self.elapsed_s + mean_wait_s <= longest_s
+        longest_s = MAX_LATE_WAIT_SHARE * caller_timeout_s(route)
+        return mean_wait_s <= MAX_LATE_MEAN_WAIT_S and self.elapsed_s + mean_wait_s <= longest_s
 
 
-def caller_patience(route: Route) -> float:
+def caller_timeout_s(route: Route) -> float:
     """Seconds for which callers of a route wait for the first event of a stream."""
     return max(
-        MIN_CALLER_PATIENCE_S,
-        PATIENCE_TARGETS * route.target_s,
-        PATIENCE_GAPS * route.target_gap_s,
+        MIN_CALLER_TIMEOUT_S,
+        CALLER_TIMEOUT_TARGETS * route.target_s,
+        CALLER_TIMEOUT_GAPS * route.target_gap_s,
     )
--- a/tests/platform_adapter/test_resting_workers.py
+++ b/tests/platform_adapter/test_resting_workers.py
@@ -20,7 +20,7 @@
 from stream_fleet import PARTS, engines, prefer
 
 from croftchute.forwarding.workers.worker_control import LONGEST_LEASE_S, drop_hold, take_hold
-from croftchute.systems.patience import FULL_FOR_S
+from croftchute.systems.timeouts import FULL_WORKER_BACKOFF_S
 
 REST_S = 5.0
 LATER_REQUESTS = 6
@@ -77,7 +77,7 @@
             assert asked == 1
             for n in range(LATER_REQUESTS):
                 prefer(box, "d0")
-                await asyncio.sleep(2 * FULL_FOR_S)
+                await asyncio.sleep(2 * FULL_WORKER_BACKOFF_S)
                 assert (await ask(box, "/stream/x", f"r{n}", extra=(PARTS,))).status == 200
             assert len(resting.received) == asked
 
--- a/tests/platform_adapter/test_streams_room.py
+++ b/tests/platform_adapter/test_streams_room.py
@@ -10,7 +10,7 @@
 from croftchute.forwarding.http.failures import AnswerLateError, ConnectFailedError
 from croftchute.forwarding.workers.worker_call import WorkerCall
 from croftchute.forwarding.workers.worker_control import take_hold
-from croftchute.systems import patience
+from croftchute.systems import timeouts
 
 
 def test_a_prompt_that_no_engine_can_hold_is_refused_at_once():
@@ -79,7 +79,7 @@
 def test_a_begun_stream_waits_for_room_at_another_worker(monkeypatch):
     # Seven asks take longer than the usual 2 s where the machine is busy; how long a stream may
     # wait is not what is shown here.
-    monkeypatch.setattr(patience, "RESUME_WAIT_S", 30.0)
+    monkeypatch.setattr(timeouts, "RESUME_WAIT_S", 30.0)
 
     async def body():
         async with fleet() as made:
@@ -105,7 +105,7 @@
             box, decode, _ = await engines(made, decodes=1)
             decode[0].faults.hangs_after_events = 2
             good = await made.add_worker("good", service="llm", stage="decode", zone="far")
-            answer_soundly, waits = good._answer, [2 * patience.HOLD_TIMEOUT_S, 0.0]
+            answer_soundly, waits = good._answer, [2 * timeouts.HOLD_TIMEOUT_S, 0.0]
 
             async def answer(request, reader, writer):
                 if request.path == "/hold-take":
@@ -124,7 +124,7 @@
 def test_where_room_is_far_off_a_begun_stream_waits_and_a_new_request_is_refused_at_once(
     monkeypatch,
 ):
-    monkeypatch.setattr(patience, "RESUME_WAIT_S", 30.0)
+    monkeypatch.setattr(timeouts, "RESUME_WAIT_S", 30.0)
 
     async def body():
         async with fleet() as made:
--- a/tests/systems/test_room_forecast.py
+++ b/tests/systems/test_room_forecast.py
@@ -2,11 +2,11 @@
 
 from croftchute.systems.room_forecast import (
     HALF_LIFE_S,
-    LATE_WAIT_S,
+    MAX_LATE_MEAN_WAIT_S,
     RoomCounts,
     RoomHistory,
     RoomWait,
-    caller_patience,
+    caller_timeout_s,
 )
 from croftchute.tables.routing import Route, RouteKind, WeightedService
 
@@ -39,12 +39,12 @@
 
 def test_a_late_request_goes_on_only_if_room_is_near_and_its_caller_still_there():
     assert wait(1.0).is_worthwhile(ROUTE, mean_wait_s=0.4)
-    assert not wait(1.0).is_worthwhile(ROUTE, mean_wait_s=LATE_WAIT_S + 0.1)
-    assert not wait(caller_patience(ROUTE) / 2).is_worthwhile(ROUTE, mean_wait_s=0.4)
+    assert not wait(1.0).is_worthwhile(ROUTE, mean_wait_s=MAX_LATE_MEAN_WAIT_S + 0.1)
+    assert not wait(caller_timeout_s(ROUTE) / 2).is_worthwhile(ROUTE, mean_wait_s=0.4)
 
 
 def test_callers_bear_what_the_platform_says():
-    assert caller_patience(ROUTE) == 4 * ROUTE.target_s
+    assert caller_timeout_s(ROUTE) == 4 * ROUTE.target_s
 
 
 def test_waits_in_vain_lengthen_the_forecast_and_grants_shorten_it():
--- a/tests/systems/test_room_order.py
+++ b/tests/systems/test_room_order.py
@@ -7,8 +7,7 @@
 from hypothesis import strategies as st
 from room_world import World
 
-from croftchute.systems import patience
-from croftchute.systems.patience import ReturnWay
+from croftchute.systems import timeouts
 from croftchute.systems.room_forecast import RoomWait
 from croftchute.systems.room_order import (
     LONGEST_PAUSE_S,
@@ -19,6 +18,7 @@
     pause_s,
     room_rank,
 )
+from croftchute.systems.timeouts import ReturnMode
 from croftchute.tables.peers import RankRoomNotice
 from croftchute.tables.routing import Route, RouteKind, WeightedService
 
@@ -33,20 +33,20 @@
     target_gap_s=0.3,
 )
 FRESH, LATE = 0.0, 4.5
-BOTH = (ReturnWay.IN_TIME_FIRST, ReturnWay.RETURNED_FIRST)
+BOTH = (ReturnMode.IN_TIME_FIRST, ReturnMode.RETURNED_FIRST)
 
 
 def poll(way, before_s, *, is_begun=False):
-    return patience.room_poll(ROUTE, way, before_s=before_s, is_begun=is_begun)
+    return timeouts.room_poll_interval_s(ROUTE, way, since_first_try_s=before_s, is_begun=is_begun)
 
 
 def test_requests_that_can_be_in_time_ask_four_times_as_often_as_late_ones():
-    way = ReturnWay.IN_TIME_FIRST
+    way = ReturnMode.IN_TIME_FIRST
     assert 4 * poll(way, FRESH) <= poll(way, LATE)
 
 
 def test_where_returned_callers_go_first_they_ask_more_often():
-    way = ReturnWay.RETURNED_FIRST
+    way = ReturnMode.RETURNED_FIRST
     assert poll(way, LATE) < poll(way, FRESH)
 
 
@@ -56,7 +56,7 @@
 
 
 def test_a_returned_caller_that_is_late_does_not_wait_as_if_it_were_in_time():
-    wait = RoomWait(elapsed_s=0.0, time_left_s=9.0, reading_s=0.2, before_s=LATE)
+    wait = RoomWait(elapsed_s=0.0, time_left_s=9.0, reading_s=0.2, since_first_try_s=LATE)
     first = RoomWait(elapsed_s=0.0, time_left_s=14.0, reading_s=0.2)
     assert first.is_worthwhile(ROUTE, mean_wait_s=0.6)
     assert not wait.is_worthwhile(ROUTE, mean_wait_s=0.6)
--- a/tests/systems/test_patience.py
+++ b/tests/systems/test_timeouts.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from croftchute.systems import patience
+from croftchute.systems import timeouts
 from croftchute.tables.routing import Route, RouteKind, WeightedService
 
 ROUTE = Route(
@@ -23,41 +23,41 @@
     for _ in range(500):
         left = rng.uniform(0.4, 30.0)
         for mean_wait_s in (None, 0.1, rng.uniform(0.0, 20.0)):
-            wait = patience.retry_after(left, mean_wait_s=mean_wait_s, spread=rng.random())
+            wait = timeouts.retry_after(left, mean_wait_s=mean_wait_s, jitter=rng.random())
             assert 0.0 < wait <= left / 3.0
 
 
 def test_a_refused_caller_comes_back_later_the_longer_room_takes():
     soon, later = (
-        patience.retry_after(14.0, mean_wait_s=mean_wait_s, spread=0.5)
+        timeouts.retry_after(14.0, mean_wait_s=mean_wait_s, jitter=0.5)
         for mean_wait_s in (0.3, 0.9)
     )
     assert soon < later < 14.0 / 3.0
 
 
 def test_no_patience_outlasts_the_caller():
-    assert patience.answer_patience(ROUTE, typical_s=5.0, time_left_s=0.3) == 0.3
-    assert patience.gap_patience(ROUTE, time_left_s=0.1) == 0.1
-    assert patience.prefill_patience(ROUTE, time_left_s=0.2) == 0.2
+    assert timeouts.answer_timeout_s(ROUTE, typical_s=5.0, time_left_s=0.3) == 0.3
+    assert timeouts.gap_timeout_s(ROUTE, time_left_s=0.1) == 0.1
+    assert timeouts.prefill_timeout_s(ROUTE, time_left_s=0.2) == 0.2
 
 
 def test_a_decode_worker_that_reads_a_prompt_itself_is_given_time_by_what_it_has_to_read():
     """It was given up while it read for others first, and the prompt was read a second time."""
-    short = patience.own_reading_patience(ROUTE, predicted_s=0.1, time_left_s=9.0)
-    assert short == patience.first_event_patience(ROUTE, time_left_s=9.0)
-    long = patience.own_reading_patience(ROUTE, predicted_s=0.5, time_left_s=9.0)
+    short = timeouts.decode_reading_timeout_s(ROUTE, predicted_s=0.1, time_left_s=9.0)
+    assert short == timeouts.first_event_timeout_s(ROUTE, time_left_s=9.0)
+    long = timeouts.decode_reading_timeout_s(ROUTE, predicted_s=0.5, time_left_s=9.0)
     assert long == 2.0
-    assert patience.own_reading_patience(ROUTE, predicted_s=0.5, time_left_s=0.7) == 0.7
+    assert timeouts.decode_reading_timeout_s(ROUTE, predicted_s=0.5, time_left_s=0.7) == 0.7
 
 
 @pytest.mark.parametrize("usual_s", [0.005, 0.06, 0.15, 0.3])
 def test_an_engine_that_turns_eight_times_slower_is_not_taken_as_stuck(usual_s):
     borne_s = 0.75 * max(2.0, 4.0 * ROUTE.target_s, 8.0 * ROUTE.target_gap_s)
-    found = patience.gap_patience(ROUTE, time_left_s=60.0, pause_s=usual_s)
+    found = timeouts.gap_timeout_s(ROUTE, time_left_s=60.0, usual_gap_s=usual_s)
     assert found >= min(8.0 * usual_s, borne_s)
-    assert found <= max(borne_s, patience.gap_patience(ROUTE, time_left_s=60.0))
+    assert found <= max(borne_s, timeouts.gap_timeout_s(ROUTE, time_left_s=60.0))
 
 
 def test_a_quick_engine_is_given_no_longer_for_its_pace():
-    known = patience.gap_patience(ROUTE, time_left_s=60.0, pause_s=0.02)
-    assert known == patience.gap_patience(ROUTE, time_left_s=60.0)
+    known = timeouts.gap_timeout_s(ROUTE, time_left_s=60.0, usual_gap_s=0.02)
+    assert known == timeouts.gap_timeout_s(ROUTE, time_left_s=60.0)
--- a/tests/systems/test_unordered_room.py
+++ b/tests/systems/test_unordered_room.py
@@ -10,10 +10,10 @@
 from croftchute.errors import Code, Ran
 from croftchute.forwarding.decision_log import Decision
 from croftchute.forwarding.workers.room_report import order_facts
-from croftchute.systems import patience
-from croftchute.systems.patience import ReturnWay
+from croftchute.systems import timeouts
 from croftchute.systems.room_forecast import RoomWait
 from croftchute.systems.room_order import OrderWay
+from croftchute.systems.timeouts import ReturnMode
 
 UNORDERED = {"priorities": (0, 1, 2), "order": OrderWay.UNORDERED}
 ONE_PRIORITY = {"priorities": (2,), "order": OrderWay.AUTO}
@@ -31,8 +31,8 @@
         self.code = None
         self.detail = ""
         is_begun = run.exchange.is_started
-        pause_s = patience.room_poll(
-            run.route, run.state.ways.returns, before_s=run.before_s, is_begun=is_begun
+        pause_s = timeouts.room_poll_interval_s(
+            run.route, run.state.ways.returns, since_first_try_s=run.before_s, is_begun=is_begun
         )
         asked_at = run.now
         has_waited = False
@@ -55,7 +55,7 @@
     def _may_wait(self, asked_at, *, is_begun):
         run = self.run
         if is_begun:
-            return run.now - asked_at < min(patience.RESUME_WAIT_S, run.time_left_s)
+            return run.now - asked_at < min(timeouts.RESUME_WAIT_S, run.time_left_s)
         if run.state.is_ending(run.now):
             return False
         mean_wait_s = run.state.mean_room_wait_s(run.service)
@@ -64,7 +64,9 @@
             elapsed_s=run.now - run.started_at,
             time_left_s=run.time_left_s,
             reading_s=pace.reading_s(run.facts.prompt_tokens),
-            before_s=run.before_s if run.state.ways.returns is ReturnWay.IN_TIME_FIRST else 0.0,
+            since_first_try_s=(
+                run.before_s if run.state.ways.returns is ReturnMode.IN_TIME_FIRST else 0.0
+            ),
         )
         if wait.is_worthwhile(run.route, mean_wait_s=mean_wait_s):
             return True
@@ -82,8 +84,8 @@
     """Refuse with the Retry-After that was sent before there was an order."""
     code = room.code or Code.NO_UPSTREAM
     mean_wait_s = run.state.mean_room_wait_s(run.service) if run.full else None
-    retry_after_s = patience.retry_after(
-        run.time_left_s, mean_wait_s=mean_wait_s, spread=run.state.rng.random()
+    retry_after_s = timeouts.retry_after(
+        run.time_left_s, mean_wait_s=mean_wait_s, jitter=run.state.rng.random()
     )
     return code, retry_after_s
 
