--- a/src/croftchute/forwarding/callers/slow_callers.py
+++ b/src/croftchute/forwarding/callers/slow_callers.py
@@ -14,10 +14,10 @@
         Decision.SLOW_CALLER_ENDED,
         request_id=request_id,
         outcome="connection reset",
-        held_bytes=ended.held,
+        held_bytes=ended.held_bytes,
         held_in_all=ended.held_in_all,
         box_bound=ended.box_bound,
         stream_bound=ended.stream_bound,
-        open_answers=ended.streams,
+        open_answers=ended.open_streams,
         age_s=round(ended.age_s, 3),
     )
--- a/src/croftchute/forwarding/http/held_answers.py
+++ b/src/croftchute/forwarding/http/held_answers.py
@@ -65,7 +65,7 @@
 
     def note(self, number: int, size: int) -> None:
         """So many bytes are held for an answer now; may end it, or another one."""
-        self.count.note(number, size, self.clock())
+        self.count.set_size(number, size, self.clock())
         self._end_largest()
 
     def close(self, number: int) -> None:
@@ -74,12 +74,12 @@
         self._answers_by_number.pop(number, None)
 
     def _end_largest(self) -> None:
-        if not self.count.is_exceeded:
+        if not self.count.exceeds_bound:
             return
         now = self.clock()
         for number, answer in self._answers_by_number.items():
             # A transport does not tell of each part that it has sent.
-            self.count.note(number, answer.size, now)
+            self.count.set_size(number, answer.size, now)
         while (ended := self.count.end_largest(now)) is not None:
             answer = self._answers_by_number.pop(ended.stream)
             self.on_ended(answer.request_id, ended)
--- a/src/croftchute/forwarding/state.py
+++ b/src/croftchute/forwarding/state.py
@@ -21,15 +21,15 @@
 from croftchute.storage.watched import StoredItem
 from croftchute.systems.crash_records import CrashRecords
 from croftchute.systems.fair_shares import OrganisationUse, ShareVerdict, share_verdicts
-from croftchute.systems.first_tries import FirstTries
+from croftchute.systems.first_tries import FirstTryTimes
 from croftchute.systems.peer_table import PeerTable
-from croftchute.systems.plain_queue import WorkTimes
+from croftchute.systems.plain_queue import WorkTimesByService
 from croftchute.systems.predicted_end import UsualTimes
 from croftchute.systems.prefill_pace import PrefillPace, fit_pace
 from croftchute.systems.request_rank import RequestRanks
 from croftchute.systems.retry_budget import RetryLimits, RetryWindow
 from croftchute.systems.room_forecast import RoomHistory
-from croftchute.systems.room_order import OrderWay, RankedRoom, RoomView
+from croftchute.systems.room_order import OrderMode, RoomView, RoomWaitsByRank
 from croftchute.systems.size_lanes import lane_share
 from croftchute.systems.stage_balance import DemandCounts, StageDemand
 from croftchute.systems.worker_belief import WorkerBelief
@@ -130,11 +130,11 @@
     budgets_by_service: dict[str, RetryWindow] = field(default_factory=dict)
     demand_by_service: dict[str, StageDemand] = field(default_factory=dict)
     room_by_service: dict[str, RoomHistory] = field(default_factory=dict)
-    ranked_room_by_service: dict[str, RankedRoom] = field(default_factory=dict)
+    ranked_room_by_service: dict[str, RoomWaitsByRank] = field(default_factory=dict)
     ways: DecisionWays = DecisionWays()
     conditions: Conditions = Conditions()
-    work_times: WorkTimes = field(default_factory=WorkTimes)
-    first_tries: FirstTries = field(default_factory=FirstTries)
+    work_times: WorkTimesByService = field(default_factory=WorkTimesByService)
+    first_tries: FirstTryTimes = field(default_factory=FirstTryTimes)
     crashes: CrashRecords = field(default_factory=CrashRecords)
     lives_looked_at: set[str] = field(default_factory=set)
     on_crash_news: Callable[[list[str]], None] = lambda _: None
@@ -300,17 +300,17 @@
             self._request_ranks_by_service[service] = ranks
         return ranks
 
-    def room_order(self, service: str) -> OrderWay:
+    def room_order(self, service: str) -> OrderMode:
         """How requests of a service that wait for room are ordered; never ``auto``."""
         way = self.ways.order
-        if way is not OrderWay.AUTO:
+        if way is not OrderMode.AUTO:
             return way
         is_ordered = self.request_ranks(service).is_ordered
-        return OrderWay.ENTRY if is_ordered else OrderWay.UNORDERED
+        return OrderMode.ENTRY if is_ordered else OrderMode.UNORDERED
 
-    def ranked_room(self, service: str) -> RankedRoom:
+    def ranked_room(self, service: str) -> RoomWaitsByRank:
         """What requests of each rank waited for room at this box."""
-        return self.ranked_room_by_service.setdefault(service, RankedRoom())
+        return self.ranked_room_by_service.setdefault(service, RoomWaitsByRank())
 
     def room_view(self, service: str) -> RoomView:
         """What this box and its peers know of all who wait for room."""
--- a/src/croftchute/forwarding/workers/order_gauges.py
+++ b/src/croftchute/forwarding/workers/order_gauges.py
@@ -7,7 +7,7 @@
 from croftchute.forwarding.state import ForwardingState
 from croftchute.forwarding.traffic_metrics import replace_values
 from croftchute.forwarding.workers.load_reader import KIND_BY_STAGE
-from croftchute.systems.room_order import OrderWay
+from croftchute.systems.room_order import OrderMode
 
 MOST_PACES = 64
 """Workers whose pace is shown: bounds the series of a box. The first by id, the same at all boxes,
@@ -29,14 +29,14 @@
     """Services of the configuration in force whose streams have waited in an order here."""
     configured = state.table.services_by_name if state.table is not None else {}
     for service in state.ranked_room_by_service:
-        if service in configured and state.room_order(service) is not OrderWay.UNORDERED:
+        if service in configured and state.room_order(service) is not OrderMode.UNORDERED:
             yield service
 
 
 def _waiting(state: ForwardingState, services: list[str]) -> Iterator[Series]:
     """Requests that wait at this box; 0 for ranks of the configuration of which none does."""
     for service in services:
-        waiting = state.ranked_room(service).waiting()
+        waiting = state.ranked_room(service).waiting_by_rank()
         for rank in sorted({*range(0, 2 * state.request_ranks(service).count, 2), *waiting}):
             yield _labels(service, rank), waiting.get(rank, 0)
 
--- a/src/croftchute/forwarding/workers/plain_admission.py
+++ b/src/croftchute/forwarding/workers/plain_admission.py
@@ -41,7 +41,7 @@
         belief.worker.id: load for belief in asked if (load := _load(run.state, belief)) is not None
     }
     work_s = run.state.work_times.usual_s(run.service)
-    choice = plain_queue.place(
+    choice = plain_queue.choose_worker(
         loads_by_id,
         work_s=work_s,
         target_left_s=run.route.target_s - run.before_s - (run.now - run.started_at),
--- a/src/croftchute/forwarding/workers/request_run.py
+++ b/src/croftchute/forwarding/workers/request_run.py
@@ -12,8 +12,8 @@
 from croftchute.forwarding.workers.room_report import count_refusal, order_facts
 from croftchute.systems import timeouts
 from croftchute.systems.fair_shares import ShareVerdict
-from croftchute.systems.room_order import OrderWay, room_rank
-from croftchute.systems.size_lanes import RoomWay, by_lane, is_large
+from croftchute.systems.room_order import OrderMode, room_rank
+from croftchute.systems.size_lanes import RoomMode, is_large, lane_candidates
 from croftchute.systems.worker_belief import WorkerBelief
 from croftchute.systems.worker_choice import ChoiceInput, Surroundings, choose, describe
 from croftchute.tables.organisations import Organisation
@@ -48,7 +48,9 @@
         if facts.time_left_s is not None:
             limit = min(limit, facts.time_left_s)
         self.deadline_at = started_at + limit
-        self.before_s = state.first_tries.time_before(route.name, facts.time_left_s, started_at)
+        self.before_s = state.first_tries.since_first_try_s(
+            route.name, facts.time_left_s, started_at
+        )
         self.arrivals = 0
         self.workers_sent_to: set[str] = set()
         self.avoid: set[str] = set()
@@ -121,7 +123,7 @@
     def is_ordered(self) -> bool:
         """Whether the request waits for room in an order by rank."""
         is_stream = self.route.kind is RouteKind.STREAM
-        return is_stream and self.state.room_order(self.service) is not OrderWay.UNORDERED
+        return is_stream and self.state.room_order(self.service) is not OrderMode.UNORDERED
 
     @property
     def mean_room_wait_s(self) -> float:
@@ -209,13 +211,13 @@
     def _within_lane(self, candidates: list[WorkerBelief]) -> list[WorkerBelief]:
         """The decode workers that requests of this size may have."""
         engine = self.engine
-        if engine is None or self.state.ways.room is RoomWay.BLIND:
+        if engine is None or self.state.ways.room is RoomMode.BLIND:
             return candidates
-        return by_lane(
+        return lane_candidates(
             candidates,
             is_large_request=self.is_large,
             share=self.state.lane_share(self.service, engine.kv_tokens),
-            passed_over=self.avoid | self.full,
+            rejected_ids=self.avoid | self.full,
         )
 
     def has_other_worker(self, stage: Stage | None) -> bool:
--- a/src/croftchute/forwarding/workers/room_turn.py
+++ b/src/croftchute/forwarding/workers/room_turn.py
@@ -121,7 +121,7 @@
         if not run.state.room_view(run.service).holds_back(run.room_rank, way):
             self._has_asked = True
             return True
-        is_last_chance = 0.0 < run.in_time_left_s <= room_order.LAST_CHANCE_S
+        is_last_chance = 0.0 < run.in_time_left_s <= room_order.FINAL_POLL_LEAD_S
         may_ask = is_last_chance and not self._had_last_chance
         self._had_last_chance |= is_last_chance
         return may_ask
@@ -138,11 +138,11 @@
         self._wait_as(run.room_rank)
         # One that is late already leaves room to others.
         target_s = run.route.target_s if run.in_time_left_s > 0.0 else math.inf
-        pause_s = room_order.pause_s(run.room_rank, target_s=target_s)
-        left_s = run.in_time_left_s - room_order.LAST_CHANCE_S / 2
+        pause_s = room_order.poll_interval_s(run.room_rank, target_s=target_s)
+        left_s = run.in_time_left_s - room_order.FINAL_POLL_LEAD_S / 2
         if left_s <= 0.0:
             return pause_s
-        return min(pause_s, max(room_order.SHORTEST_PAUSE_S, left_s))
+        return min(pause_s, max(room_order.MIN_POLL_INTERVAL_S, left_s))
 
     def waited(self, seconds: float, now: float) -> None:
         """Counts for the forecast of its rank, and of all less urgent ones."""
@@ -164,7 +164,7 @@
         if rank == self._rank:
             return
         if self._rank is not None:
-            self.room.end(self._rank)
+            self.room.end_wait(self._rank)
         if rank is not None:
-            self.room.begin(rank)
+            self.room.begin_wait(rank)
         self._rank = rank
--- a/src/croftchute/router_settings.py
+++ b/src/croftchute/router_settings.py
@@ -9,9 +9,9 @@
 
 from croftchute.errors import Code, DocumentError, Fault
 from croftchute.systems.predicted_end import PlacementWay
-from croftchute.systems.room_order import OrderWay
+from croftchute.systems.room_order import OrderMode
 from croftchute.systems.service_capacity import SplitWay
-from croftchute.systems.size_lanes import RoomWay
+from croftchute.systems.size_lanes import RoomMode
 from croftchute.systems.timeouts import HoldMode, ReturnMode
 from croftchute.tables.organisations import LimitWay
 
@@ -63,11 +63,11 @@
     """Which way each decision is made that has more than one; unknown names are refused."""
 
     limits: LimitWay = LimitWay.POOLED
-    room: RoomWay = RoomWay.LANES
+    room: RoomMode = RoomMode.LANES
     split: SplitWay = SplitWay.AUTO
     returns: ReturnMode = ReturnMode.RETURNED_FIRST
     hold: HoldMode = HoldMode.LIKELY
-    order: OrderWay = OrderWay.AUTO
+    order: OrderMode = OrderMode.AUTO
     placement: PlacementWay = PlacementWay.AUTO
 
 
--- a/src/croftchute/systems/fair_shares.py
+++ b/src/croftchute/systems/fair_shares.py
@@ -17,68 +17,70 @@
 HALF_LIFE_S = 4.0
 """Seconds after which use counts half: longer than a stream runs, shorter than a flood lasts."""
 
-FORGET_TOKENS = 1.0
+MIN_KEPT_TOKENS = 1.0
 """Tokens of use under which an organisation is forgotten: a minute after its last request."""
 
-MOST_TOLD = 16
+MAX_ORGANISATIONS_PER_NOTICE = 16
 """Organisations told of in one notice, those that asked for the most: bounds a datagram."""
 
 SCARCE_RATIO = 0.9
 """Granted over asked under which room is short: some requests ask just before they get it."""
 
-MOST_TOKENS = 1e9
+MAX_REPORTED_TOKENS = 1e9
 """Tokens of use beyond which what a peer tells is ignored: a thousand engines' memory."""
 
-TOLERANCE = 0.1
+SHARE_TOLERANCE = 0.1
 """Share of its fair part by which an organisation may be over it: one request more or less."""
 
 
 @dataclass(kw_only=True, slots=True)
-class _Use:
+class _DecayedUse:
     """Decayed sums of one organisation, as of a time."""
 
     asked: float = 0.0
     granted: float = 0.0
-    at: float = 0.0
+    updated_at: float = 0.0
 
-    def fade(self, now: float) -> None:
-        left = 0.5 ** (max(0.0, now - self.at) / HALF_LIFE_S)
-        self.asked *= left
-        self.granted *= left
-        self.at = now
+    def decay(self, now: float) -> None:
+        remaining = 0.5 ** (max(0.0, now - self.updated_at) / HALF_LIFE_S)
+        self.asked *= remaining
+        self.granted *= remaining
+        self.updated_at = now
 
 
 @dataclass(kw_only=True)
 class OrganisationUse:
     """Tokens that organisations asked room for at one box and service, and those they got."""
 
-    _use_by_name: dict[str, _Use] = field(default_factory=dict)
+    _use_by_name: dict[str, _DecayedUse] = field(default_factory=dict)
 
     def note_asked(self, name: str, tokens: int, now: float) -> None:
         """A request asks for room; each request counts once."""
-        self._faded(name, now).asked += tokens
+        self._decayed(name, now).asked += tokens
 
     def note_granted(self, name: str, tokens: int, now: float, *, waited_s: float = 0.0) -> None:
         """A request got room; it counts as much as its asking does by now, ``waited_s`` later.
 
         An organisation whose requests all waited and got room would else have more than it asked.
         """
-        self._faded(name, now).granted += tokens * 0.5 ** (max(0.0, waited_s) / HALF_LIFE_S)
+        self._decayed(name, now).granted += tokens * 0.5 ** (max(0.0, waited_s) / HALF_LIFE_S)
 
     def notices(self, now: float) -> tuple[OrganisationUseNotice, ...]:
         """What peers are told: the organisations that asked for the most."""
         for name in list(self._use_by_name):
-            if self._faded(name, now).asked < FORGET_TOKENS:
+            if self._decayed(name, now).asked < MIN_KEPT_TOKENS:
                 del self._use_by_name[name]
-        largest = heapq.nlargest(MOST_TOLD, self._use_by_name.items(), key=lambda e: e[1].asked)
+        largest = heapq.nlargest(
+            MAX_ORGANISATIONS_PER_NOTICE, self._use_by_name.items(), key=lambda e: e[1].asked
+        )
         return tuple(
             OrganisationUseNotice(name=name, asked_tokens=use.asked, granted_tokens=use.granted)
             for name, use in largest
         )
 
-    def _faded(self, name: str, now: float) -> _Use:
-        use = self._use_by_name.setdefault(name, _Use(at=now))
-        use.fade(now)
+    def _decayed(self, name: str, now: float) -> _DecayedUse:
+        use = self._use_by_name.setdefault(name, _DecayedUse(updated_at=now))
+        use.decay(now)
         return use
 
 
@@ -128,7 +130,7 @@
     shares = fair_shares(demand_by_name, weights_by_name, granted)
     return {
         name: ShareVerdict(
-            is_over=granted_by_name[name] > (1.0 + TOLERANCE) * share,
+            is_over=granted_by_name[name] > (1.0 + SHARE_TOLERANCE) * share,
             is_scarce=True,
             share=share / granted,
             used=granted_by_name[name] / granted,
@@ -145,19 +147,23 @@
     >>> fair_shares({"a": 2.0, "b": 8.0, "c": 10.0}, {"a": 1, "b": 1, "c": 2}, 11.0)
     {'a': 2.0, 'c': 6.0, 'b': 3.0}
     """
-    known = [weight for name in demand_by_name if (weight := weights_by_name.get(name, 0.0)) > 0.0]
-    usual = sum(known) / len(known) if known else 1.0
-    weight_by_name = {name: weights_by_name.get(name, 0.0) or usual for name in demand_by_name}
+    known_weights = [
+        weight for name in demand_by_name if (weight := weights_by_name.get(name, 0.0)) > 0.0
+    ]
+    default_weight = sum(known_weights) / len(known_weights) if known_weights else 1.0
+    weight_by_name = {
+        name: weights_by_name.get(name, 0.0) or default_weight for name in demand_by_name
+    }
     shares: dict[str, float] = {}
     # The smallest demand for its weight is met first: the others share what it leaves.
     names = sorted(demand_by_name, key=lambda n: demand_by_name[n] / weight_by_name[n])
     # Summed from the end: subtracting from the whole leaves 0 for a weight that is tiny beside it.
-    weights_left = [*accumulate(weight_by_name[name] for name in reversed(names))]
-    left = capacity
-    for name, weight_left in zip(names, reversed(weights_left), strict=True):
-        part = left * weight_by_name[name] / weight_left
+    remaining_weights = [*accumulate(weight_by_name[name] for name in reversed(names))]
+    remaining = capacity
+    for name, remaining_weight in zip(names, reversed(remaining_weights), strict=True):
+        part = remaining * weight_by_name[name] / remaining_weight
         shares[name] = min(demand_by_name[name], part)
-        left = max(0.0, left - shares[name])
+        remaining = max(0.0, remaining - shares[name])
     return shares
 
 
@@ -170,7 +176,7 @@
     granted_by_name: dict[str, float] = {}
     for use in uses:
         asked, granted = use.asked_tokens, use.granted_tokens
-        if 0.0 <= asked <= MOST_TOKENS and 0.0 <= granted <= MOST_TOKENS:
+        if 0.0 <= asked <= MAX_REPORTED_TOKENS and 0.0 <= granted <= MAX_REPORTED_TOKENS:
             name = use.name
             asked_by_name[name] = asked_by_name.get(name, 0.0) + max(asked, granted)
             granted_by_name[name] = granted_by_name.get(name, 0.0) + granted
--- a/src/croftchute/systems/plain_queue.py
+++ b/src/croftchute/systems/plain_queue.py
@@ -15,14 +15,14 @@
 from croftchute.systems.worker_belief import WorkerBelief
 from croftchute.tables.routing import Route
 
-BUSY_FOR_S = 1.0
+BUSY_WINDOW_S = 1.0
 """Seconds for which a service counts as busy after an answer told of a queue, or a rejection: a
 queue of two dozen calls drains in less."""
 
-WORK_WEIGHT = 0.1
+WORK_TIME_SAMPLE_WEIGHT = 0.1
 """Weight of the newest answer in the usual working time: ten or so make it."""
 
-LONG_CALL = 2.0
+LONG_CALL_RATIO = 2.0
 """Working times that a call is reckoned with: nineteen of twenty take no more, by the spread of the
 times that the users' sheets name."""
 
@@ -36,10 +36,10 @@
     slots: int
     pace: float = 1.0
 
-    def end_s(self, work_s: float, *, own: float = 1.0) -> float:
+    def end_s(self, work_s: float, *, work_ratio: float = 1.0) -> float:
         """Seconds until one more call would end, if one takes ``work_s`` at the usual pace.
 
-        ``own`` is how many times as long the call itself takes.
+        ``work_ratio`` is how many times as long the call itself takes.
 
         >>> QueueLoad(running=3, waiting=0, slots=6).end_s(0.09)
         0.09
@@ -47,11 +47,11 @@
         0.6
         """
         ahead = max(0, self.running + self.waiting + 1 - self.slots)
-        return round(self.pace * work_s * (own + ahead / max(1, self.slots)), 4)
+        return round(self.pace * work_s * (work_ratio + ahead / max(1, self.slots)), 4)
 
 
 @dataclass(kw_only=True, slots=True)
-class WorkTime:
+class MeanWorkTime:
     """The usual working time of a plain service in seconds, waits left out; 0 while not known."""
 
     usual_s: float = 0.0
@@ -62,18 +62,18 @@
             return
         if self.usual_s == 0.0:
             self.usual_s = seconds
-        self.usual_s += WORK_WEIGHT * (seconds - self.usual_s)
+        self.usual_s += WORK_TIME_SAMPLE_WEIGHT * (seconds - self.usual_s)
 
 
 @dataclass(kw_only=True)
-class WorkTimes:
+class WorkTimesByService:
     """The usual working times of plain services, by name."""
 
-    _time_by_service: dict[str, WorkTime] = field(default_factory=dict)
+    _time_by_service: dict[str, MeanWorkTime] = field(default_factory=dict)
 
     def note(self, service: str, seconds: float, *, waiting: int) -> None:
         """An answer of a service took some seconds, while so many calls waited at its worker."""
-        self._time_by_service.setdefault(service, WorkTime()).note(seconds, waiting=waiting)
+        self._time_by_service.setdefault(service, MeanWorkTime()).note(seconds, waiting=waiting)
 
     def usual_s(self, service: str) -> float:
         """The usual working time in seconds; 0 while not known."""
@@ -98,13 +98,13 @@
 def is_busy(beliefs: Sequence[WorkerBelief], now: float) -> bool:
     """Whether a worker of the service told of a queue lately, or rejected a call."""
     return any(
-        now - belief.rejected_at <= BUSY_FOR_S
-        or (belief.load_waiting > 0 and now - belief.load_at <= BUSY_FOR_S)
+        now - belief.rejected_at <= BUSY_WINDOW_S
+        or (belief.load_waiting > 0 and now - belief.load_at <= BUSY_WINDOW_S)
         for belief in beliefs
     )
 
 
-def place(
+def choose_worker(
     loads_by_id: Mapping[str, QueueLoad],
     *,
     work_s: float,
@@ -119,9 +119,10 @@
 
     >>> loads = {"a": QueueLoad(running=6, waiting=24, slots=6),
     ...          "b": QueueLoad(running=6, waiting=3, slots=6)}
-    >>> place(loads, work_s=0.09, target_left_s=0.4, time_left_s=4.0, is_last_try=False).worker_id
+    >>> times = {"work_s": 0.09, "time_left_s": 4.0, "is_last_try": False}
+    >>> choose_worker(loads, target_left_s=0.4, **times).worker_id
     'b'
-    >>> place(loads, work_s=0.09, target_left_s=0.1, time_left_s=4.0, is_last_try=False).is_refused
+    >>> choose_worker(loads, target_left_s=0.1, **times).is_refused
     True
     """
     if not loads_by_id or work_s <= 0.0:
@@ -132,5 +133,5 @@
     if is_last_try:
         is_refused = end_s > time_left_s
     else:
-        is_refused = loads_by_id[best].end_s(work_s, own=LONG_CALL) > target_left_s
+        is_refused = loads_by_id[best].end_s(work_s, work_ratio=LONG_CALL_RATIO) > target_left_s
     return PlainChoice(worker_id=best, end_s=end_s, is_refused=is_refused)
--- a/src/croftchute/systems/request_rank.py
+++ b/src/croftchute/systems/request_rank.py
@@ -8,13 +8,13 @@
 
 from croftchute.tables.routing import RouteKind, RoutingTable
 
-UNSTATED_PRIORITY = 5
+DEFAULT_PRIORITY = 5
 """Priority of an organisation that states none: the middle of the scale of engines."""
 
-MOST_RANKS = 10
+MAX_RANKS = 10
 """Ranks that are told apart: as many as the engines' scale of priorities has."""
 
-Pair = tuple[int, int]
+PriorityPair = tuple[int, int]
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
@@ -26,7 +26,7 @@
     """
 
     is_ordered: bool = False
-    rank_by_pair: dict[Pair, int] = field(default_factory=dict)
+    rank_by_priorities: dict[PriorityPair, int] = field(default_factory=dict)
 
     @classmethod
     def of_service(cls, table: RoutingTable, service: str) -> Self:
@@ -51,23 +51,25 @@
         False
         """
         by_route = sorted(set(routes))
-        by_organisation = sorted({_stated(priority) for priority in organisations})
+        by_organisation = sorted({_priority_or_default(priority) for priority in organisations})
         pairs = [(first, second) for first in by_organisation for second in by_route]
-        ranks = {pair: min(place, MOST_RANKS - 1) for place, pair in enumerate(pairs)}
-        return cls(is_ordered=len(by_route) > 1, rank_by_pair=ranks)
+        ranks = {pair: min(position, MAX_RANKS - 1) for position, pair in enumerate(pairs)}
+        return cls(is_ordered=len(by_route) > 1, rank_by_priorities=ranks)
 
     @property
     def count(self) -> int:
         """How many ranks there are."""
-        return 1 + max(self.rank_by_pair.values(), default=0)
+        return 1 + max(self.rank_by_priorities.values(), default=0)
 
-    def rank(self, organisation: int | None, route: int) -> int:
+    def rank(self, organisation_priority: int | None, route_priority: int) -> int:
         """The rank of a request by both priorities; pairs of another configuration go last."""
-        return self.rank_by_pair.get((_stated(organisation), route), self.count - 1)
+        return self.rank_by_priorities.get(
+            (_priority_or_default(organisation_priority), route_priority), self.count - 1
+        )
 
 
-def _stated(priority: int | None) -> int:
-    return UNSTATED_PRIORITY if priority is None else priority
+def _priority_or_default(priority: int | None) -> int:
+    return DEFAULT_PRIORITY if priority is None else priority
 
 
 def _organisation_priorities(table: RoutingTable) -> set[int | None]:
--- a/src/croftchute/systems/room_forecast.py
+++ b/src/croftchute/systems/room_forecast.py
@@ -69,7 +69,7 @@
     """What the requests of one box waited for room lately."""
 
     _counts: RoomCounts = RoomCounts()
-    _at: float = 0.0
+    _updated_at: float = 0.0
 
     def note_waited(self, seconds: float, now: float) -> None:
         """A request waited, and has no room yet."""
@@ -81,14 +81,14 @@
 
     def counts(self, now: float) -> RoomCounts:
         """What counts at present."""
-        share = 0.5 ** (max(0.0, now - self._at) / HALF_LIFE_S)
+        share = 0.5 ** (max(0.0, now - self._updated_at) / HALF_LIFE_S)
         return RoomCounts(
             waited_s=share * self._counts.waited_s, grants=share * self._counts.grants
         )
 
     def _add(self, counts: RoomCounts, now: float) -> None:
         self._counts = self.counts(now) + counts
-        self._at = now
+        self._updated_at = now
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
--- a/src/croftchute/systems/room_order.py
+++ b/src/croftchute/systems/room_order.py
@@ -12,53 +12,53 @@
 from dataclasses import dataclass, field
 from enum import StrEnum
 
-from croftchute.systems.request_rank import MOST_RANKS
+from croftchute.systems.request_rank import MAX_RANKS
 from croftchute.systems.room_forecast import RoomCounts, RoomHistory
 from croftchute.tables.peers import RankRoomNotice
 
-FIRST_PAUSE_S = 0.03
+BASE_POLL_INTERVAL_S = 0.03
 """Seconds between two asks for room of the most urgent rank: about as often as streams end."""
 
-PAUSE_RATIO = 3.0
+POLL_INTERVAL_RATIO = 3.0
 """How many times as long the next rank of requests pauses, two ranks for room: room that comes free
 mostly goes to the first."""
 
-PAUSE_SHARE_OF_TARGET = 0.1
+MAX_POLL_INTERVAL_TARGET_SHARE = 0.1
 """Share of the target for which a request pauses at the most: it asks some times before it is
 late, however many ranks there are that nobody waits with."""
 
-LONGEST_PAUSE_S = 0.5
+MAX_POLL_INTERVAL_S = 0.5
 """Longest pause of any rank: a fraction of any caller's patience."""
 
-SHORTEST_PAUSE_S = 0.01
+MIN_POLL_INTERVAL_S = 0.01
 """Shortest pause: a request that is about to be late does not ask again and again at once."""
 
-LAST_CHANCE_S = 0.15
+FINAL_POLL_LEAD_S = 0.15
 """Seconds before a request would be late at which it asks once although it holds back, so that no
 rank is shut out for as long as a more urgent one is short of room."""
 
-ENTRY_WAIT_S = 0.2
+ENTRY_WAIT_THRESHOLD_S = 0.2
 """Mean wait of a more urgent rank from which on others hold back: a fourth of the shortest targets
 in use, so that reading the prompt still fits the rest."""
 
-MIN_WAITED_S = 0.2
+MIN_TOTAL_WAIT_S = 0.2
 """Seconds that requests of a rank must have waited lately, in all, for that mean to count: a first
 ask that found no room shows no shortage. In a large fleet a box hears of few that wait."""
 
 
-MOST_ROOM_RANKS = 4 * MOST_RANKS
+MAX_ROOM_RANKS = 4 * MAX_RANKS
 """Ranks for room: two for each rank, by the share of the organisation, and again for late ones."""
 
-MOST_TOLD = 100_000.0
+MAX_REPORTED_VALUE = 100_000.0
 """Seconds waited, grants and waiting requests beyond which what a peer tells is ignored: a thousand
 requests that wait at one box add up to 3,000 s."""
 
-FORGET_COUNTS = 0.01
+MIN_REPORTED_COUNT = 0.01
 """Seconds waited and grants under which a rank is told no longer: a configuration may have no such
 rank any more."""
 
 
-class OrderWay(StrEnum):
+class OrderMode(StrEnum):
     """How requests that wait for room are ordered.
 
     ``paced``: the more urgent ask more often. ``entry``: beside that, others hold back while a
@@ -73,17 +73,17 @@
 
 
 @dataclass(kw_only=True)
-class RankedRoom:
+class RoomWaitsByRank:
     """What the requests of one box waited for room at the engines of a service, by rank."""
 
     _history_by_rank: dict[int, RoomHistory] = field(default_factory=dict)
     _waiting_by_rank: Counter[int] = field(default_factory=Counter)
 
-    def begin(self, rank: int) -> None:
+    def begin_wait(self, rank: int) -> None:
         """A request begins to wait."""
         self._waiting_by_rank[rank] += 1
 
-    def end(self, rank: int) -> None:
+    def end_wait(self, rank: int) -> None:
         """A request waits no longer: it got room, was refused, or its caller left."""
         self._waiting_by_rank[rank] -= 1
 
@@ -95,14 +95,14 @@
         """A request that had waited got room."""
         self._history(rank).note_granted(now)
 
-    def waiting(self) -> dict[int, int]:
+    def waiting_by_rank(self) -> dict[int, int]:
         """Requests that wait at the moment, by rank."""
         return {rank: count for rank, count in self._waiting_by_rank.items() if count > 0}
 
     def notices(self, now: float) -> tuple[RankRoomNotice, ...]:
         """What peers are told, the most urgent rank first; ranks that went quiet are forgotten."""
         for rank, counts in self._counts_by_rank(now).items():
-            is_quiet = max(counts.waited_s, counts.grants) < FORGET_COUNTS
+            is_quiet = max(counts.waited_s, counts.grants) < MIN_REPORTED_COUNT
             if is_quiet and self._waiting_by_rank[rank] <= 0:
                 del self._history_by_rank[rank], self._waiting_by_rank[rank]
         return tuple(
@@ -126,18 +126,18 @@
 class RoomView:
     """What one box knows of all who wait for room at the engines of a service.
 
-    ``told_at_by_rank`` is when the newest news came that requests of a rank wait.
+    ``reported_at_by_rank`` is when the newest news came that requests of a rank wait.
     """
 
     counts_by_rank: dict[int, RoomCounts]
     waiting_by_rank: dict[int, int]
-    told_at_by_rank: dict[int, float] = field(default_factory=dict)
+    reported_at_by_rank: dict[int, float] = field(default_factory=dict)
 
     @classmethod
     def of(
         cls,
         own: Iterable[RankRoomNotice],
-        heard: Iterable[tuple[RankRoomNotice, float]] = (),
+        from_peers: Iterable[tuple[RankRoomNotice, float]] = (),
         *,
         now: float = 0.0,
     ) -> RoomView:
@@ -147,15 +147,15 @@
         """
         sums_by_rank: dict[int, list[float]] = {}
         waiting_by_rank: dict[int, int] = {}
-        told_at_by_rank: dict[int, float] = {}
-        for entry, told_at in [*((entry, now) for entry in own), *heard]:
-            rank, waited_s, grants = entry.rank, entry.waited_s, entry.grants
-            waiting = entry.waiting
+        reported_at_by_rank: dict[int, float] = {}
+        for notice, reported_at in [*((notice, now) for notice in own), *from_peers]:
+            rank, waited_s, grants = notice.rank, notice.waited_s, notice.grants
+            waiting = notice.waiting
             if not (
-                0 <= rank < MOST_ROOM_RANKS
-                and 0.0 <= waited_s <= MOST_TOLD
-                and 0.0 <= grants <= MOST_TOLD
-                and 0 <= waiting <= MOST_TOLD
+                0 <= rank < MAX_ROOM_RANKS
+                and 0.0 <= waited_s <= MAX_REPORTED_VALUE
+                and 0.0 <= grants <= MAX_REPORTED_VALUE
+                and 0 <= waiting <= MAX_REPORTED_VALUE
             ):
                 continue
             sums = sums_by_rank.setdefault(rank, [0.0, 0.0])
@@ -163,7 +163,9 @@
             sums[1] += grants
             waiting_by_rank[rank] = waiting_by_rank.get(rank, 0) + waiting
             if waiting > 0:
-                told_at_by_rank[rank] = max(told_at, told_at_by_rank.get(rank, told_at))
+                reported_at_by_rank[rank] = max(
+                    reported_at, reported_at_by_rank.get(rank, reported_at)
+                )
         counts_by_rank = {
             rank: RoomCounts(waited_s=waited_s, grants=grants)
             for rank, (waited_s, grants) in sums_by_rank.items()
@@ -171,7 +173,7 @@
         return cls(
             counts_by_rank=counts_by_rank,
             waiting_by_rank=waiting_by_rank,
-            told_at_by_rank=told_at_by_rank,
+            reported_at_by_rank=reported_at_by_rank,
         )
 
     def mean_wait_s(self, rank: int) -> float:
@@ -196,14 +198,14 @@
         ...          waiting_by_rank={2: 1}).entry_rank()
         2
         """
-        short = [
+        starved_ranks = [
             rank
             for rank, counts in self.counts_by_rank.items()
             if self.waiting_by_rank.get(rank, 0) > 0
-            and counts.waited_s >= MIN_WAITED_S
-            and counts.mean_wait_s > ENTRY_WAIT_S
+            and counts.waited_s >= MIN_TOTAL_WAIT_S
+            and counts.mean_wait_s > ENTRY_WAIT_THRESHOLD_S
         ]
-        return min(short, default=None)
+        return min(starved_ranks, default=None)
 
     def entry_age_s(self, now: float) -> float | None:
         """Age in seconds of the newest news that the entry rank waits; None if there is none.
@@ -213,28 +215,31 @@
         0.5
         """
         entry = self.entry_rank()
-        if entry is None or entry not in self.told_at_by_rank:
+        if entry is None or entry not in self.reported_at_by_rank:
             return None
-        return max(0.0, now - self.told_at_by_rank[entry])
+        return max(0.0, now - self.reported_at_by_rank[entry])
 
-    def holds_back(self, rank: int, way: OrderWay) -> bool:
+    def holds_back(self, rank: int, mode: OrderMode) -> bool:
         """Whether a request of a rank leaves room that comes free to more urgent ones."""
-        if way is not OrderWay.ENTRY:
+        if mode is not OrderMode.ENTRY:
             return False
         entry = self.entry_rank()
         return entry is not None and rank > entry
 
 
-def pause_s(rank: int, *, target_s: float = math.inf) -> float:
+def poll_interval_s(rank: int, *, target_s: float = math.inf) -> float:
     """Seconds until a request of a rank for room, with some target, asks again.
 
-    >>> [round(pause_s(rank), 2) for rank in range(0, 8, 2)]
+    >>> [round(poll_interval_s(rank), 2) for rank in range(0, 8, 2)]
     [0.03, 0.09, 0.27, 0.5]
-    >>> round(pause_s(6, target_s=0.8), 2)
+    >>> round(poll_interval_s(6, target_s=0.8), 2)
     0.08
     """
-    longest_s = min(LONGEST_PAUSE_S, PAUSE_SHARE_OF_TARGET * target_s)
-    return max(FIRST_PAUSE_S, min(longest_s, FIRST_PAUSE_S * PAUSE_RATIO ** (rank / 2)))
+    longest_s = min(MAX_POLL_INTERVAL_S, MAX_POLL_INTERVAL_TARGET_SHARE * target_s)
+    return max(
+        BASE_POLL_INTERVAL_S,
+        min(longest_s, BASE_POLL_INTERVAL_S * POLL_INTERVAL_RATIO ** (rank / 2)),
+    )
 
 
 def room_rank(rank: int, *, ranks: int, is_late: bool, is_over_share: bool = False) -> int:
@@ -244,7 +249,7 @@
     no more than its own rank: while room is short most large organisations are over an equal share,
     and the urgent requests of most callers would else go last.
 
-    It is held to ``MOST_ROOM_RANKS``: a request that comes while the configuration ends the order
+    It is held to ``MAX_ROOM_RANKS``: a request that comes while the configuration ends the order
     has its priority as rank, which may be any number.
 
     >>> room_rank(0, ranks=3, is_late=True) > room_rank(2, ranks=3, is_late=False)
@@ -252,5 +257,5 @@
     >>> room_rank(1, ranks=3, is_late=False, is_over_share=True)
     3
     """
-    found = 2 * (rank + (ranks if is_late else 0)) + is_over_share
-    return max(0, min(found, MOST_ROOM_RANKS - 1))
+    room_rank_value = 2 * (rank + (ranks if is_late else 0)) + is_over_share
+    return max(0, min(room_rank_value, MAX_ROOM_RANKS - 1))
--- a/src/croftchute/systems/size_lanes.py
+++ b/src/croftchute/systems/size_lanes.py
@@ -15,29 +15,29 @@
 from croftchute.systems.stage_balance import DemandCounts
 from croftchute.systems.worker_belief import WorkerBelief
 
-LARGE_SHARE = 0.5
+MIN_LARGE_REQUEST_SHARE = 0.5
 """Share of an engine's memory over which a request is large: two of them don't fit one engine."""
 
 MAX_LANE_SHARE = 0.4
 """Share of the decode workers that the lane has at most."""
 
-FAIR_RATIO = 0.75
+FAIR_GRANT_RATIO = 0.75
 """How often large requests get room beside all others, from which on they need no lane."""
 
 LANE_GAIN = 3.0
 """How much of its full size the lane gets for what lacks of the fair ratio: all of it where large
 requests get room less than 0.42 times as often as others. In bursts that keeps them at 0.55."""
 
-MIN_ASKS = 10
+MIN_REQUESTS = 10
 """Fewest asks, large and others, to judge by."""
 
-MIN_LARGE_ASKS = 3
+MIN_LARGE_REQUESTS = 3
 """Fewest large ones among these."""
 
-LANE_KEY = "large requests"
+LANE_HASH_KEY = "large requests"
 
 
-class RoomWay(StrEnum):
+class RoomMode(StrEnum):
     """How decode memory is shared between requests of different sizes."""
 
     LANES = "lanes"
@@ -50,7 +50,7 @@
     >>> is_large(14_000, 26_000), is_large(9_000, 26_000)
     (True, False)
     """
-    return kv_tokens > 0 and tokens > LARGE_SHARE * kv_tokens
+    return kv_tokens > 0 and tokens > MIN_LARGE_REQUEST_SHARE * kv_tokens
 
 
 def lane_share(counts: DemandCounts, kv_tokens: int) -> float:
@@ -66,21 +66,21 @@
     ...                         large_tokens=360_000, granted=75, large_granted=13), 26_000)
     0.0
     """
-    if counts.asks < MIN_ASKS or counts.large_asks < MIN_LARGE_ASKS or not counts.granted:
+    if counts.asks < MIN_REQUESTS or counts.large_asks < MIN_LARGE_REQUESTS or not counts.granted:
         return 0.0
     ratio = (counts.large_granted / counts.large_asks) / (counts.granted / counts.asks)
-    lack = min(1.0, LANE_GAIN * max(0.0, FAIR_RATIO - ratio))
+    shortfall = min(1.0, LANE_GAIN * max(0.0, FAIR_GRANT_RATIO - ratio))
     others = max(0, counts.prompt_tokens - counts.large_tokens) / kv_tokens
-    whole = counts.large_asks / (counts.large_asks + others)
-    return min(MAX_LANE_SHARE, round(lack * whole, 3))
+    full_share = counts.large_asks / (counts.large_asks + others)
+    return min(MAX_LANE_SHARE, round(shortfall * full_share, 3))
 
 
-def by_lane(
+def lane_candidates(
     candidates: Sequence[WorkerBelief],
     *,
     is_large_request: bool,
     share: float,
-    passed_over: Collection[str],
+    rejected_ids: Collection[str],
 ) -> list[WorkerBelief]:
     """The workers that a request may be put to: the lane's for large ones, the rest for others.
 
@@ -90,9 +90,9 @@
     size = int(share * len(candidates) + 0.5)
     if not 0 < size < len(candidates):
         return list(candidates)
-    ranked = sorted(candidates, key=lambda belief: weight(LANE_KEY, belief.worker.id))
+    ranked = sorted(candidates, key=lambda belief: weight(LANE_HASH_KEY, belief.worker.id))
     lane, rest = ranked[:size], ranked[size:]
     if not is_large_request:
         return rest
-    left = [belief for belief in lane if belief.worker.id not in passed_over]
-    return left or rest
+    untried = [belief for belief in lane if belief.worker.id not in rejected_ids]
+    return untried or rest
--- a/tests/platform_adapter/rank_fleet.py
+++ b/tests/platform_adapter/rank_fleet.py
@@ -43,7 +43,7 @@
 
 def waiting(box):
     """Requests that wait at a box for a hold, by room rank."""
-    return box.state.ranked_room("llm").waiting()
+    return box.state.ranked_room("llm").waiting_by_rank()
 
 
 async def is_waiting(box, **count_by_rank):
--- a/tests/platform_adapter/test_many_slow_readers.py
+++ b/tests/platform_adapter/test_many_slow_readers.py
@@ -12,11 +12,11 @@
 from platform_fleet import Answer, config, fleet, read_answer, request_bytes, route, run
 
 from croftchute.soak.boxes import PROGRAM, SETTINGS_VARIABLE, free_ports
-from croftchute.systems.held_bytes import BYTES_PER_MB, HELD_SHARE
+from croftchute.systems.held_bytes import BYTES_PER_MB, HELD_MEMORY_SHARE
 
 SLOW_CALLERS = 200
 MEMORY_MB = 64.0
-HELD_BOUND = MEMORY_MB * HELD_SHARE * BYTES_PER_MB
+HELD_BOUND = MEMORY_MB * HELD_MEMORY_SHARE * BYTES_PER_MB
 
 SLOW_CALLERS_PER_S = 60.0
 """More of them at once would have to wait for the stand-in workers, which share a process."""
--- a/tests/platform_adapter/test_plain_admission.py
+++ b/tests/platform_adapter/test_plain_admission.py
@@ -69,7 +69,7 @@
     async def body():
         async with fleet(config=queued_config()) as made:
             box, workers = await before(made, FULL, FULL)
-            box.state.first_tries.time_before("once", 5.0, box.state.clock())
+            box.state.first_tries.since_first_try_s("once", 5.0, box.state.clock())
             answer = await ask(box, "/once/x", "r1", deadline=3000)
             assert answer.status == 200
 
--- a/tests/platform_adapter/test_room_by_rank.py
+++ b/tests/platform_adapter/test_room_by_rank.py
@@ -16,7 +16,7 @@
 from stream_fleet import engines
 
 from croftchute.forwarding.workers.decode_room import DecodeRoom
-from croftchute.systems.room_order import MIN_WAITED_S
+from croftchute.systems.room_order import MIN_TOTAL_WAIT_S
 
 ORDER_FIELDS = {"rank", "room_rank", "entry_rank", "entry_age_s"}
 
@@ -231,8 +231,8 @@
         async with fleet(config=ordered_config()) as made:
             (box,), _ = await boxes_before_a_full_engine(made)
             room = box.state.ranked_room("llm")
-            room.begin(0)
-            room.note_waited(0, MIN_WAITED_S / 2, box.state.clock())
+            room.begin_wait(0)
+            room.note_waited(0, MIN_TOTAL_WAIT_S / 2, box.state.clock())
             assert box.state.room_view("llm").entry_rank() is None
             assert box.state.room_view("llm").entry_age_s(box.state.clock()) is None
 
--- a/tests/platform_adapter/test_slow_readers.py
+++ b/tests/platform_adapter/test_slow_readers.py
@@ -87,7 +87,7 @@
 
 
 def bounded(box, *, box_bytes, stream_bytes=4_000_000):
-    box.held.count.bounds = HeldBounds(box=box_bytes, stream=stream_bytes)
+    box.held.count.bounds = HeldBounds(box_bytes=box_bytes, stream_bytes=stream_bytes)
 
 
 def test_a_caller_that_reads_slowly_gets_its_whole_answer_after_the_worker_was_read_to_its_end():
@@ -103,7 +103,7 @@
             got, is_whole = await caller.read_all()
             assert is_whole and got.count(b"data: token-") == EVENTS
             assert decode[0].cut_off == []
-            await until(lambda: box.held.count.total == 0 and box.held.count.streams == 0)
+            await until(lambda: box.held.count.total == 0 and box.held.count.open_streams == 0)
 
     run(body)
 
@@ -117,7 +117,7 @@
             lines = log_of(box, monkeypatch)
             caller = await SlowCaller.ask(box, "/stream/x")
             await until(lambda: decode[0].cut_off)
-            assert box.held.count.total == 0 and box.held.count.streams == 0
+            assert box.held.count.total == 0 and box.held.count.open_streams == 0
             (connection,) = box.ingress.connections
             assert connection.transport.get_write_buffer_limits() == (16384, 65536)
             assert connection.writer.is_held_up and not connection.writer.has_unsent
@@ -199,7 +199,7 @@
             await until(lambda: box.held.count.total > 800_000)
             worker.answer_bytes = 900_000
             second = await SlowCaller.ask(box, "/safe/x", "r2")
-            await until(lambda: box.held.count.streams == 1 and box.held.count.total > 700_000)
+            await until(lambda: box.held.count.open_streams == 1 and box.held.count.total > 700_000)
             assert box.held.count.total <= 1_500_000
             with pytest.raises(ConnectionError):
                 while await first.reader.read(65536):
@@ -253,7 +253,7 @@
             begun_at = box.state.clock()
             caller = await SlowCaller.ask(box, path, deadline=800)
             await until(lambda: box.held.count.total > 1_000_000)
-            await until(lambda: box.held.count.streams == 0)
+            await until(lambda: box.held.count.open_streams == 0)
             assert 0.7 < box.state.clock() - begun_at < 1.5
             _, is_whole = await caller.read_all()
             assert not is_whole
@@ -297,7 +297,7 @@
             await until(lambda: decode[0].finished)
             got = await caller.reader.read()
             assert got.count(b"data: token-") == EVENTS
-            await until(lambda: box.held.count.streams == 0)
+            await until(lambda: box.held.count.open_streams == 0)
 
     run(body)
 
@@ -319,7 +319,7 @@
                 box.reload("signal")
 
             reload(MEMORY_MB)
-            assert box.held.count.bounds == HeldBounds(box=16_000_000)
+            assert box.held.count.bounds == HeldBounds(box_bytes=16_000_000)
             bounded(box, box_bytes=16_000_000)
             caller.writer.write(request_bytes("/stream/x"))
             await until(lambda: decode[0].finished)
@@ -328,7 +328,7 @@
             reload(0.0)
             assert box.held.count.bounds is None
             assert (await ask(box, "/stream/y", "r2")).is_whole
-            assert box.held.count.total == 0 and box.held.count.streams == 0
+            assert box.held.count.total == 0 and box.held.count.open_streams == 0
 
     run(body)
 
--- a/tests/platform_adapter/test_streams_order.py
+++ b/tests/platform_adapter/test_streams_order.py
@@ -53,9 +53,9 @@
                     room.note_granted(rank, box.state.clock())
             _, writer = await asyncio.open_connection("127.0.0.1", box.ingress.port)
             writer.write(request_bytes(path, "r1"))
-            await until(lambda: sum(room.waiting().values()) == 1)
+            await until(lambda: sum(room.waiting_by_rank().values()) == 1)
             writer.transport.abort()
-            await until(lambda: room.waiting() == {})
+            await until(lambda: room.waiting_by_rank() == {})
 
     run(body)
 
@@ -75,7 +75,7 @@
             refused = await ask(box, "/last/x", "r99", deadline=1000)
             assert refused.status == 503 and b"no_capacity" in refused.body
             assert 0 < float(refused.headers["retry-after"]) <= 0.32
-            assert box.state.ranked_room("llm").waiting() == {}
+            assert box.state.ranked_room("llm").waiting_by_rank() == {}
             assert ran(decode, "r99") == 0
 
     run(body)
--- a/tests/systems/room_run.py
+++ b/tests/systems/room_run.py
@@ -14,7 +14,7 @@
 from croftchute.forwarding.workers.decode_room import DecodeRoom
 from croftchute.forwarding.workers.request_run import RequestRun
 from croftchute.router_settings import DecisionWays, RouterSettings
-from croftchute.systems.room_order import OrderWay
+from croftchute.systems.room_order import OrderMode
 from croftchute.tables.organisations import Organisation, Organisations, UsageLimit
 from croftchute.tables.routing import (
     EngineTraits,
@@ -108,7 +108,9 @@
 class Bench:
     """A box whose clock moves only while a request waits."""
 
-    def __init__(self, monkeypatch, *, priorities=(0, 1, 2), order=OrderWay.AUTO, organisations=()):
+    def __init__(
+        self, monkeypatch, *, priorities=(0, 1, 2), order=OrderMode.AUTO, organisations=()
+    ):
         self.now = 100.0
         self.sleeps = []
         settings = RouterSettings(
--- a/tests/systems/room_world.py
+++ b/tests/systems/room_world.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field
 
 from croftchute.systems import room_order
-from croftchute.systems.room_order import OrderWay, RankedRoom, RoomView
+from croftchute.systems.room_order import OrderMode, RoomView, RoomWaitsByRank
 
 NOTICE_S = 0.5
 FANOUT = 10
@@ -20,7 +20,7 @@
 
 @dataclass
 class Box:
-    room: RankedRoom = field(default_factory=RankedRoom)
+    room: RoomWaitsByRank = field(default_factory=RoomWaitsByRank)
     heard_by_box: dict = field(default_factory=dict)
 
     def view(self, now):
@@ -35,7 +35,7 @@
     boxes: int
     places: int
     run_s: float
-    way: OrderWay
+    way: OrderMode
     seed: int = 1
     has_news: bool = True
 
@@ -85,7 +85,7 @@
     def _ask(self, now, box, rank, came_at, has_waited):
         view = box.view(now)
         left_s = self.patience_by_rank[rank // 2] - (now - came_at)
-        is_last_chance = 0.0 < left_s <= room_order.LAST_CHANCE_S
+        is_last_chance = 0.0 < left_s <= room_order.FINAL_POLL_LEAD_S
         if is_last_chance or not view.holds_back(rank, self.way):
             self.asks += 1
             if self.free > 0:
@@ -94,15 +94,15 @@
                 self.waits_by_rank.setdefault(rank // 2, []).append(now - came_at)
                 if has_waited:
                     box.room.note_granted(rank, now)
-                    box.room.end(rank)
+                    box.room.end_wait(rank)
                 return
         if not has_waited:
-            box.room.begin(rank)
+            box.room.begin_wait(rank)
         if view.mean_wait_s(rank) > left_s or is_last_chance:
-            box.room.end(rank)
+            box.room.end_wait(rank)
             return
-        pause_s = POLL_S if self.way is OrderWay.UNORDERED else room_order.pause_s(rank)
-        pause_s = min(pause_s, max(0.01, left_s - room_order.LAST_CHANCE_S / 2))
+        pause_s = POLL_S if self.way is OrderMode.UNORDERED else room_order.poll_interval_s(rank)
+        pause_s = min(pause_s, max(0.01, left_s - room_order.FINAL_POLL_LEAD_S / 2))
         box.room.note_waited(rank, pause_s, now)
         self.at(now + pause_s, self._ask, box, rank, came_at, True)
 
--- a/tests/systems/test_fair_shares.py
+++ b/tests/systems/test_fair_shares.py
@@ -9,7 +9,7 @@
 
 from croftchute.systems.fair_shares import (
     HALF_LIFE_S,
-    MOST_TOLD,
+    MAX_ORGANISATIONS_PER_NOTICE,
     OrganisationUse,
     fair_shares,
     share_verdict,
@@ -98,8 +98,10 @@
     for number in range(1_000):
         use.note_asked(f"o{number}", 10 + number, 0.0)
     told = use.notices(0.0)
-    assert len(told) == MOST_TOLD
-    assert {entry.name for entry in told} == {f"o{n}" for n in range(1_000 - MOST_TOLD, 1_000)}
+    assert len(told) == MAX_ORGANISATIONS_PER_NOTICE
+    assert {entry.name for entry in told} == {
+        f"o{n}" for n in range(1_000 - MAX_ORGANISATIONS_PER_NOTICE, 1_000)
+    }
 
 
 @given(demands, st.dictionaries(names, st.floats(1e-12, 1e15)), amounts)
--- a/tests/systems/test_held_bytes.py
+++ b/tests/systems/test_held_bytes.py
@@ -6,7 +6,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from croftchute.systems.held_bytes import STREAM_BYTES, HeldBounds, HeldBytes
+from croftchute.systems.held_bytes import MAX_STREAM_BYTES, HeldBounds, HeldBytes
 
 BOX = 1000
 MOST_PART = 400
@@ -18,8 +18,8 @@
 """Parts that come; one of size 0 stands for a caller that leaves."""
 
 
-def made(box=BOX, stream=STREAM_BYTES):
-    return HeldBytes(bounds=HeldBounds(box=box, stream=stream))
+def made(box=BOX, stream=MAX_STREAM_BYTES):
+    return HeldBytes(bounds=HeldBounds(box_bytes=box, stream_bytes=stream))
 
 
 def sizes(held):
@@ -35,7 +35,7 @@
             held.close(stream)
         else:
             held.open(stream, now)
-            held.note(stream, held.held(stream) + part, now)
+            held.set_size(stream, held.held(stream) + part, now)
             assert held.total <= BOX + part
             held.end_largest(now)
         assert held.total == sum(sizes(held).values()) <= BOX
@@ -50,14 +50,14 @@
         if part == 0:
             continue
         held.open(stream, now)
-        held.note(stream, held.held(stream) + part, now)
+        held.set_size(stream, held.held(stream) + part, now)
         before = sizes(held)
         total = held.total
         ended = held.end_largest(now)
         if ended is None:
             assert total <= BOX and sizes(held) == before
             continue
-        assert ended.held == before[ended.stream] == max(before.values())
+        assert ended.held_bytes == before[ended.stream] == max(before.values())
         assert (ended.held_in_all, ended.box_bound) == (total, BOX)
         assert sizes(held) == before | {ended.stream: 0}
 
@@ -69,9 +69,9 @@
     for stream in range(streams):
         held.open(stream, 0.0)
     for stream in range(streams):
-        held.note(stream, held.stream_bound, 0.0)
-    assert not held.is_exceeded
-    assert held.stream_bound <= STREAM_BYTES
+        held.set_size(stream, held.stream_bound, 0.0)
+    assert not held.exceeds_bound
+    assert held.stream_bound <= MAX_STREAM_BYTES
 
 
 def test_a_caller_that_leaves_frees_what_was_held_for_it_at_once():
@@ -79,10 +79,10 @@
     held = made()
     for stream in (1, 2):
         held.open(stream, 0.0)
-        held.note(stream, 500, 0.0)
+        held.set_size(stream, 500, 0.0)
     held.close(1)
-    assert held.total == 500 and held.streams == 1
-    held.note(2, 1000, 1.0)
+    assert held.total == 500 and held.open_streams == 1
+    held.set_size(2, 1000, 1.0)
     assert held.end_largest(1.0) is None
     held.close(1)
     assert held.total == 1000
@@ -92,10 +92,10 @@
     """The fault: a long stream that was read well looked like one unread for as long."""
     held = made()
     held.open(1, 0.0)
-    held.note(1, 10, 5.0)
-    held.note(1, 0, 6.0)
-    held.note(1, 900, 20.0)
-    held.note(1, 1001, 23.0)
+    held.set_size(1, 10, 5.0)
+    held.set_size(1, 0, 6.0)
+    held.set_size(1, 900, 20.0)
+    held.set_size(1, 1001, 23.0)
     ended = held.end_largest(23.0)
     assert ended is not None and ended.age_s == 3.0
 
@@ -105,8 +105,8 @@
     held = made()
     for stream in range(4):
         held.open(stream, 0.0)
-        held.note(stream, 200 + stream, 0.0)
-    held.bounds = HeldBounds(box=450)
+        held.set_size(stream, 200 + stream, 0.0)
+    held.bounds = HeldBounds(box_bytes=450)
     ended = []
     while (one := held.end_largest(1.0)) is not None:
         ended.append(one.stream)
@@ -123,8 +123,8 @@
     """The fault: a box that was told of no memory ended answers."""
     held = HeldBytes(bounds=None)
     held.open(1, 0.0)
-    held.note(1, 10**12, 0.0)
+    held.set_size(1, 10**12, 0.0)
     assert held.end_largest(0.0) is None
-    held.note(1, -5, 0.0)
-    held.note(2, 5, 0.0)
+    held.set_size(1, -5, 0.0)
+    held.set_size(2, 5, 0.0)
     assert held.total == 10**12
--- a/tests/systems/test_plain_queue.py
+++ b/tests/systems/test_plain_queue.py
@@ -6,11 +6,11 @@
 import pytest
 
 from croftchute.systems.plain_queue import (
-    BUSY_FOR_S,
+    BUSY_WINDOW_S,
+    MeanWorkTime,
     QueueLoad,
-    WorkTime,
+    choose_worker,
     is_busy,
-    place,
 )
 from croftchute.systems.worker_belief import WorkerBelief
 from croftchute.tables.routing import Worker
@@ -55,7 +55,7 @@
         total += 1
         if probes:
             loads = {str(n): workers.load(n, now - WAY_S) for n in range(3)}
-            chosen = place(
+            chosen = choose_worker(
                 loads,
                 work_s=WORK_S,
                 target_left_s=TARGET_S - WAY_S,
@@ -96,26 +96,26 @@
         "slow": QueueLoad(running=1, waiting=0, slots=6, pace=2.5),
         "queued": QueueLoad(running=6, waiting=2, slots=6),
     }
-    found = place(loads, work_s=0.1, target_left_s=0.4, time_left_s=1.0, is_last_try=False)
+    found = choose_worker(loads, work_s=0.1, target_left_s=0.4, time_left_s=1.0, is_last_try=False)
     assert found.worker_id == "queued"
 
 
 def test_a_caller_that_can_not_come_again_is_let_in_while_it_waits():
     loads = {"a": QueueLoad(running=6, waiting=24, slots=6)}
     late = {"work_s": 0.1, "target_left_s": 0.0, "is_last_try": True}
-    assert not place(loads, time_left_s=1.0, **late).is_refused
-    assert place(loads, time_left_s=0.3, **late).is_refused
+    assert not choose_worker(loads, time_left_s=1.0, **late).is_refused
+    assert choose_worker(loads, time_left_s=0.3, **late).is_refused
 
 
 def test_without_news_or_a_known_working_time_nothing_is_decided():
     options = {"target_left_s": 0.4, "time_left_s": 4.0, "is_last_try": False}
-    assert place({}, work_s=0.1, **options) is None
+    assert choose_worker({}, work_s=0.1, **options) is None
     loads = {"a": QueueLoad(running=1, waiting=0, slots=6)}
-    assert place(loads, work_s=0.0, **options) is None
+    assert choose_worker(loads, work_s=0.0, **options) is None
 
 
 def test_the_working_time_leaves_out_answers_beside_a_queue():
-    time = WorkTime()
+    time = MeanWorkTime()
     time.note(0.09, waiting=0)
     time.note(2.0, waiting=9)
     assert time.usual_s == 0.09
@@ -129,6 +129,6 @@
 def test_a_service_is_busy_for_a_while_after_a_queue_or_a_rejection():
     assert not is_busy([belief()], now=5.0)
     assert not is_busy([belief(load_running=6, load_at=5.0)], now=5.0)
-    assert is_busy([belief(load_waiting=1, load_at=5.0)], now=5.0 + BUSY_FOR_S)
-    assert not is_busy([belief(load_waiting=1, load_at=5.0)], now=5.1 + BUSY_FOR_S)
+    assert is_busy([belief(load_waiting=1, load_at=5.0)], now=5.0 + BUSY_WINDOW_S)
+    assert not is_busy([belief(load_waiting=1, load_at=5.0)], now=5.1 + BUSY_WINDOW_S)
     assert is_busy([belief(), belief(rejected_at=5.0)], now=5.5)
--- a/tests/systems/test_ranked_turn.py
+++ b/tests/systems/test_ranked_turn.py
@@ -10,12 +10,12 @@
 from croftchute.forwarding.workers.room_report import order_facts
 from croftchute.systems.room_forecast import PRIOR_WAIT_S, RoomCounts
 from croftchute.systems.room_order import (
-    LAST_CHANCE_S,
-    MOST_ROOM_RANKS,
-    SHORTEST_PAUSE_S,
-    OrderWay,
-    RankedRoom,
+    FINAL_POLL_LEAD_S,
+    MAX_ROOM_RANKS,
+    MIN_POLL_INTERVAL_S,
+    OrderMode,
     RoomView,
+    RoomWaitsByRank,
 )
 from croftchute.tables.organisations import LimitUnit
 from croftchute.tables.peers import OrganisationUseNotice
@@ -28,14 +28,14 @@
 def urgent_waits(bench, *, rank=0, waited_s=5.0):
     """A more urgent request waits at this box, and has for long."""
     room = bench.state.ranked_room("llm")
-    room.begin(rank)
+    room.begin_wait(rank)
     room.note_waited(rank, waited_s, bench.now)
 
 
 def urgent_is_served(bench):
     room = bench.state.ranked_room("llm")
-    if room.waiting().get(0):
-        room.end(0)
+    if room.waiting_by_rank().get(0):
+        room.end_wait(0)
         room.note_granted(0, bench.now)
 
 
@@ -93,7 +93,7 @@
     """Guards against requests that are told as waiting for good, which hold all others back."""
     bench = Bench(monkeypatch)
     bench.reserve(bench.request(priority), script)
-    assert bench.state.ranked_room("llm").waiting() == {}
+    assert bench.state.ranked_room("llm").waiting_by_rank() == {}
 
 
 @pytest.mark.parametrize("error", [asyncio.CancelledError, RuntimeError])
@@ -103,14 +103,14 @@
     seen = []
 
     def end():
-        seen.append(bench.state.ranked_room("llm").waiting())
+        seen.append(bench.state.ranked_room("llm").waiting_by_rank())
         raise error
 
     bench.on_sleep = end
     with pytest.raises(error):
         bench.reserve(bench.request(0), [FULL])
     assert seen == [{0: 1}]
-    assert bench.state.ranked_room("llm").waiting() == {}
+    assert bench.state.ranked_room("llm").waiting_by_rank() == {}
 
 
 def test_a_request_that_becomes_late_while_it_waits_is_counted_by_one_rank(monkeypatch):
@@ -119,13 +119,13 @@
     for rank in [0] * 5 + [6] * 5:
         bench.state.ranked_room("llm").note_granted(rank, bench.now)
     seen = []
-    bench.on_sleep = lambda: seen.append(bench.state.ranked_room("llm").waiting())
+    bench.on_sleep = lambda: seen.append(bench.state.ranked_room("llm").waiting_by_rank())
     run = bench.request(0, prompt=SHORT)
     run.before_s = 0.7
     bench.reserve(run, [FULL] * 15 + [FOUND])
     assert all(sum(waiting.values()) == 1 for waiting in seen)
     assert {0: 1} in seen and {6: 1} in seen
-    assert bench.state.ranked_room("llm").waiting() == {}
+    assert bench.state.ranked_room("llm").waiting_by_rank() == {}
 
 
 # A request that holds back.
@@ -195,7 +195,7 @@
     run = bench.request(2, prompt=SHORT)
     room, found = bench.reserve(run, [FOUND])
     assert found is not None and room.asks == 1
-    assert 0.0 < run.in_time_left_s <= LAST_CHANCE_S
+    assert 0.0 < run.in_time_left_s <= FINAL_POLL_LEAD_S
 
 
 def test_where_urgent_requests_wait_for_long_others_ask_once_too(monkeypatch):
@@ -218,7 +218,7 @@
             bench.state.ranked_room("llm").note_granted(rank, bench.now)
     run = bench.request(priority, prompt=SHORT)
     bench.reserve(run, [FULL] * 60 + [FOUND])
-    assert bench.sleeps and min(bench.sleeps) >= SHORTEST_PAUSE_S
+    assert bench.sleeps and min(bench.sleeps) >= MIN_POLL_INTERVAL_S
     assert run.in_time_left_s < 0.0
 
 
@@ -233,25 +233,25 @@
 
     def end_order():
         bench.state.table = table([700], version=2, organisations=[organisation("o", priority=900)])
-        told.extend(bench.state.ranked_room("llm").waiting())
+        told.extend(bench.state.ranked_room("llm").waiting_by_rank())
 
     bench.on_sleep = end_order
     bench.reserve(bench.request(700, organisation="o"), [FULL] * 3 + [FOUND])
-    assert told and all(0 <= rank < MOST_ROOM_RANKS for rank in told)
-    assert bench.state.ranked_room("llm").waiting() == {}
+    assert told and all(0 <= rank < MAX_ROOM_RANKS for rank in told)
+    assert bench.state.ranked_room("llm").waiting_by_rank() == {}
 
 
 def test_ranks_of_an_earlier_configuration_are_told_no_longer():
     """The fault: each rank that ever waited stayed in all notices, and its count of next to nothing
     raised the forecasts of less urgent ranks to the prior for good."""
-    room = RankedRoom()
+    room = RoomWaitsByRank()
     room.note_waited(0, 5.0, 0.0)
-    room.begin(1)
+    room.begin_wait(1)
     room.note_waited(1, 0.5, 0.0)
     assert [entry.rank for entry in room.notices(1.0)] == [0, 1]
     assert [entry.rank for entry in room.notices(60.0)] == [1]
-    room.end(1)
-    assert room.notices(60.0) == () and room == RankedRoom()
+    room.end_wait(1)
+    assert room.notices(60.0) == () and room == RoomWaitsByRank()
 
 
 def test_limits_of_a_new_configuration_count_at_once(monkeypatch):
@@ -302,7 +302,7 @@
 
 def test_without_an_order_by_rank_peers_uses_decide_nothing(monkeypatch):
     """Guards against shares that are in force where no order is."""
-    bench = Bench(monkeypatch, order=OrderWay.UNORDERED, organisations=[organisation("o")])
+    bench = Bench(monkeypatch, order=OrderMode.UNORDERED, organisations=[organisation("o")])
     uses = [OrganisationUseNotice(name="o", asked_tokens=9e6, granted_tokens=5e6)]
     bench.state.peers.uses = lambda *_: uses
     run = bench.request(2, organisation="o")
--- a/tests/systems/test_request_rank.py
+++ b/tests/systems/test_request_rank.py
@@ -3,7 +3,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from croftchute.systems.request_rank import MOST_RANKS, RequestRanks
+from croftchute.systems.request_rank import MAX_RANKS, RequestRanks
 from croftchute.tables.organisations import Organisation, Organisations
 from croftchute.tables.routing import Route, RouteKind, RoutingTable, WeightedService, by_host
 
@@ -35,7 +35,7 @@
     pairs = sorted((first, second) for first in organisations for second in routes)
     found = [ranks.rank(*pair) for pair in pairs]
     assert found == sorted(found)
-    assert all(0 <= rank < MOST_RANKS for rank in found)
+    assert all(0 <= rank < MAX_RANKS for rank in found)
 
 
 def test_priorities_of_other_services_and_of_plain_calls_make_no_order():
--- a/tests/systems/test_room_order.py
+++ b/tests/systems/test_room_order.py
@@ -10,12 +10,12 @@
 from croftchute.systems import timeouts
 from croftchute.systems.room_forecast import RoomWait
 from croftchute.systems.room_order import (
-    LONGEST_PAUSE_S,
-    MOST_ROOM_RANKS,
-    OrderWay,
-    RankedRoom,
+    MAX_POLL_INTERVAL_S,
+    MAX_ROOM_RANKS,
+    OrderMode,
     RoomView,
-    pause_s,
+    RoomWaitsByRank,
+    poll_interval_s,
     room_rank,
 )
 from croftchute.systems.timeouts import ReturnMode
@@ -85,33 +85,33 @@
     The two urgent kinds ask for 0.6 of the room; four of five of the first and two of three of the
     second at least have to get it.
     """
-    world = surge(OrderWay.ENTRY, boxes=boxes)
+    world = surge(OrderMode.ENTRY, boxes=boxes)
     assert world.served(0) >= 0.8
     assert world.served(1) >= 0.67
     assert world.served(0) >= world.served(1) >= world.served(2)
-    assert surge(OrderWay.UNORDERED, boxes=boxes).served(0) < 0.8
+    assert surge(OrderMode.UNORDERED, boxes=boxes).served(0) < 0.8
 
 
 def test_the_order_wastes_no_room():
     """Requests that hold back must not leave engines idle."""
-    ordered, unordered = surge(OrderWay.ENTRY), surge(OrderWay.UNORDERED)
+    ordered, unordered = surge(OrderMode.ENTRY), surge(OrderMode.UNORDERED)
     total = [sum(map(len, world.waits_by_rank.values())) for world in (ordered, unordered)]
     assert total[0] >= 0.9 * total[1]
 
 
 def test_the_least_urgent_are_not_starved():
-    world = surge(OrderWay.ENTRY, until=20.0)
+    world = surge(OrderMode.ENTRY, until=20.0)
     assert world.served(2) > 0.15
 
 
 def test_a_box_without_news_orders_its_own_requests():
     """Cut off, or just started: it goes by what it sees itself, and serves the urgent no worse."""
-    world = surge(OrderWay.ENTRY, boxes=8, has_news=False)
+    world = surge(OrderMode.ENTRY, boxes=8, has_news=False)
     assert world.served(0) >= world.served(2)
 
 
 def test_calm_load_is_served_alike_in_any_way():
-    for way in (OrderWay.UNORDERED, OrderWay.PACED, OrderWay.ENTRY):
+    for way in (OrderMode.UNORDERED, OrderMode.PACED, OrderMode.ENTRY):
         world = World(boxes=61, places=140, run_s=3.4, way=way)
         world.play({0: 8.0, 1: 6.0, 2: 10.0}, until=10.0, patience_by_rank=PATIENCE_S)
         assert min(world.served(rank) for rank in RATES) > 0.97
@@ -136,17 +136,17 @@
 @given(st.integers(0, 19), st.integers(0, 19))
 def test_the_more_urgent_asks_at_least_as_often(one, other):
     first, second = sorted((one, other))
-    assert pause_s(first) <= pause_s(second) <= LONGEST_PAUSE_S
+    assert poll_interval_s(first) <= poll_interval_s(second) <= MAX_POLL_INTERVAL_S
 
 
 def test_a_request_that_stops_waiting_is_no_longer_told():
-    room = RankedRoom()
-    room.begin(1)
+    room = RoomWaitsByRank()
+    room.begin_wait(1)
     room.note_waited(1, 0.2, 0.0)
     assert room.notices(0.0)[0].waiting == 1
-    room.end(1)
+    room.end_wait(1)
     assert room.notices(0.1)[0].waiting == 0
-    assert room.waiting() == {}
+    assert room.waiting_by_rank() == {}
 
 
 @pytest.mark.parametrize("odd", [math.nan, math.inf, -math.inf, -1.0, -1e300, 1e300])
@@ -160,7 +160,7 @@
             assert RoomView.of([*known, row]) == RoomView.of(known)
 
 
-@pytest.mark.parametrize("rank, waiting", [(MOST_ROOM_RANKS, 1), (255, 1), (-1, 1), (1, -5)])
+@pytest.mark.parametrize("rank, waiting", [(MAX_ROOM_RANKS, 1), (255, 1), (-1, 1), (1, -5)])
 def test_odd_ranks_and_counts_of_a_peer_change_nothing(rank, waiting):
     """Guards against state that grows by what peers tell, and against waiting less than nobody."""
     known = [RankRoomNotice(rank=1, waited_s=3.0, grants=2.0, waiting=1)]
@@ -172,4 +172,4 @@
 def test_any_rank_for_room_can_be_told(rank, ranks, is_late, is_over):
     """The fault: a rank over 255 fits no notice."""
     found = room_rank(rank, ranks=ranks, is_late=is_late, is_over_share=is_over)
-    assert 0 <= found < MOST_ROOM_RANKS
+    assert 0 <= found < MAX_ROOM_RANKS
--- a/tests/systems/test_size_lanes.py
+++ b/tests/systems/test_size_lanes.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from croftchute.systems.size_lanes import by_lane, is_large, lane_share
+from croftchute.systems.size_lanes import is_large, lane_candidates, lane_share
 from croftchute.systems.stage_balance import DemandCounts, StageDemand
 from croftchute.systems.worker_table import WorkerTable
 from croftchute.tables.routing import Stage, Worker
@@ -56,7 +56,9 @@
         for until, tokens in waiting:
             large = is_large(tokens, KV_TOKENS)
             full = {engine for engine, room in free.items() if room < tokens}
-            places = by_lane(beliefs, is_large_request=large, share=share, passed_over=full)
+            places = lane_candidates(
+                beliefs, is_large_request=large, share=share, rejected_ids=full
+            )
             fits = [b.worker.id for b in places if free[b.worker.id] >= tokens]
             if fits:
                 engine = rng.choice(fits)
@@ -98,27 +100,30 @@
     counts = DemandCounts(asks=50, prompt_tokens=50 * 3000, granted=20)
     assert lane_share(counts, KV_TOKENS) == 0.0
     beliefs = engines()
-    assert by_lane(beliefs, is_large_request=False, share=0.0, passed_over=()) == beliefs
+    assert lane_candidates(beliefs, is_large_request=False, share=0.0, rejected_ids=()) == beliefs
 
 
 def test_all_boxes_keep_the_same_engines_for_the_lane():
     beliefs = engines()
     other_order = list(reversed(beliefs))
     lanes = [
-        {b.worker.id for b in by_lane(order, is_large_request=True, share=0.25, passed_over=())}
+        {
+            b.worker.id
+            for b in lane_candidates(order, is_large_request=True, share=0.25, rejected_ids=())
+        }
         for order in (beliefs, other_order)
     ]
     assert lanes[0] == lanes[1]
     assert len(lanes[0]) == 5
-    rest = by_lane(beliefs, is_large_request=False, share=0.25, passed_over=())
+    rest = lane_candidates(beliefs, is_large_request=False, share=0.25, rejected_ids=())
     assert not lanes[0] & {b.worker.id for b in rest}
 
 
 def test_a_large_request_may_have_the_rest_once_the_lane_is_full():
     beliefs = engines()
-    lane = by_lane(beliefs, is_large_request=True, share=0.25, passed_over=())
+    lane = lane_candidates(beliefs, is_large_request=True, share=0.25, rejected_ids=())
     full = {b.worker.id for b in lane}
-    more = by_lane(beliefs, is_large_request=True, share=0.25, passed_over=full)
+    more = lane_candidates(beliefs, is_large_request=True, share=0.25, rejected_ids=full)
     assert len(more) == 15
 
 
@@ -126,4 +131,7 @@
 def test_a_service_too_small_for_a_lane_is_left_whole(number):
     beliefs = engines(number)
     for large in (True, False):
-        assert len(by_lane(beliefs, is_large_request=large, share=0.2, passed_over=())) == number
+        assert (
+            len(lane_candidates(beliefs, is_large_request=large, share=0.2, rejected_ids=()))
+            == number
+        )
--- a/tests/systems/test_unordered_room.py
+++ b/tests/systems/test_unordered_room.py
@@ -12,11 +12,11 @@
 from croftchute.forwarding.workers.room_report import order_facts
 from croftchute.systems import timeouts
 from croftchute.systems.room_forecast import RoomWait
-from croftchute.systems.room_order import OrderWay
+from croftchute.systems.room_order import OrderMode
 from croftchute.systems.timeouts import ReturnMode
 
-UNORDERED = {"priorities": (0, 1, 2), "order": OrderWay.UNORDERED}
-ONE_PRIORITY = {"priorities": (2,), "order": OrderWay.AUTO}
+UNORDERED = {"priorities": (0, 1, 2), "order": OrderMode.UNORDERED}
+ONE_PRIORITY = {"priorities": (2,), "order": OrderMode.AUTO}
 either = pytest.mark.parametrize("ways", [UNORDERED, ONE_PRIORITY], ids=["unordered", "one"])
 
 scripts = st.lists(st.sampled_from([FULL, FULL, FULL, NO_WORKER, FOUND]), min_size=1, max_size=12)
