--- a/tests/systems/room_run.py
+++ b/tests/systems/room_harness.py
@@ -27,10 +27,10 @@
     by_host,
 )
 
-FULL, NO_WORKER, FOUND = "full", "no worker", "found"
+FULL, NO_WORKER, GRANTED = "full", "no worker", "granted"
 
 
-class Connection:
+class FakeConnection:
     """The caller's side: keeps what was answered."""
 
     is_lost = False
@@ -60,7 +60,7 @@
         self.is_lost = True
 
 
-class Log:
+class RecordingLog:
     """Keeps the lines."""
 
     def __init__(self):
@@ -105,7 +105,7 @@
     return Organisation(name=name, priority=priority, limit=usage)
 
 
-class Bench:
+class RoomHarness:
     """A box whose clock moves only while a request waits."""
 
     def __init__(
@@ -128,7 +128,7 @@
         self.state.clock = lambda: self.now
         self.state.started_at = self.state.begun_at = self.now
         self.state.rng = random.Random(1)
-        self.state.log = self.log = Log()
+        self.state.log = self.log = RecordingLog()
         self.state.table = table(priorities, organisations=organisations)
         self.on_sleep = lambda: None
         monkeypatch.setattr(asyncio, "sleep", self._sleep)
@@ -139,7 +139,7 @@
         self.on_sleep()
 
     def request(self, priority, *, organisation=None, deadline_s=None, prompt=5_000):
-        connection = Connection()
+        connection = FakeConnection()
         incoming = IncomingRequest(
             method="POST",
             target="/x",
@@ -201,7 +201,7 @@
     async def _ask_for_room(self):
         self.asks += 1
         outcome = self.script.pop(0) if len(self.script) > 1 else self.script[0]
-        if outcome == FOUND:
+        if outcome == GRANTED:
             return object(), object()
         if outcome == FULL:
             self.run.full.add("w")
--- a/tests/systems/test_fair_shares.py
+++ b/tests/systems/test_fair_shares.py
@@ -118,7 +118,7 @@
     assert fair_shares({"a": 5.0, "b": 5.0}, {"a": 1e16, "b": 1.0}, 4.0)["a"] == approx(4.0)
 
 
-use_rows = st.lists(
+use_entries = st.lists(
     st.tuples(names, st.floats(0.0, 1e6), st.floats(0.0, 1e6)), min_size=1, max_size=30
 )
 
@@ -130,7 +130,7 @@
     ]
 
 
-@given(use_rows, st.dictionaries(names, st.floats(0.1, 1e5)))
+@given(use_entries, st.dictionaries(names, st.floats(0.1, 1e5)))
 def test_who_asks_for_less_than_its_weighted_part_is_never_over(rows, weights):
     """The fault: more granted than asked, as of a request that waited, was over any share."""
     uses_told = notices(rows)
@@ -145,7 +145,7 @@
         assert verdict == share_verdict(name, uses_told, weights)
 
 
-@given(use_rows)
+@given(use_entries)
 def test_shares_of_what_is_granted_add_up_to_one(rows):
     """Guards against room that is granted to nobody, or twice."""
     verdicts = share_verdicts(notices(rows), {})
@@ -153,11 +153,11 @@
     assert not verdicts or sum(v.used for v in verdicts.values()) == approx(1.0)
 
 
-@pytest.mark.parametrize("odd", [math.nan, math.inf, -math.inf, -1.0, -1e300, 1e300])
-def test_odd_figures_of_a_peer_change_nothing(odd):
+@pytest.mark.parametrize("invalid", [math.nan, math.inf, -math.inf, -1.0, -1e300, 1e300])
+def test_odd_figures_of_a_peer_change_nothing(invalid):
     """The fault: one NaN in a notice ended all shares, a negative figure was divided up."""
     known = uses(flood=(90_000, 40_000), quiet=(10_000, 5_000))
-    for asked, granted in ((odd, 1.0), (1.0, odd), (odd, odd)):
+    for asked, granted in ((invalid, 1.0), (1.0, invalid), (invalid, invalid)):
         for name in ("flood", "quiet", "other"):
             told = [*known, *uses(**{name: (asked, granted)})]
             assert share_verdicts(told, {}) == share_verdicts(known, {})
--- a/tests/systems/test_held_bytes.py
+++ b/tests/systems/test_held_bytes.py
@@ -9,27 +9,27 @@
 from croftchute.systems.held_bytes import MAX_STREAM_BYTES, HeldBounds, HeldBytes
 
 BOX = 1000
-MOST_PART = 400
+MAX_PART = 400
 
-parts = st.tuples(st.integers(0, 9), st.integers(1, MOST_PART))
+parts = st.tuples(st.integers(0, 9), st.integers(1, MAX_PART))
 """An answer and the size of a part of it; no part is larger than the box's bound."""
 
 steps = st.lists(st.one_of(parts, st.tuples(st.integers(0, 9), st.just(0))), max_size=60)
 """Parts that come; one of size 0 stands for a caller that leaves."""
 
 
-def made(box=BOX, stream=MAX_STREAM_BYTES):
+def make_held_bytes(box=BOX, stream=MAX_STREAM_BYTES):
     return HeldBytes(bounds=HeldBounds(box_bytes=box, stream_bytes=stream))
 
 
-def sizes(held):
+def sizes_by_stream(held):
     return {stream: held.held(stream) for stream in range(10)}
 
 
 @given(steps)
 def test_the_sum_exceeds_the_bound_by_one_part_at_most_and_only_until_one_is_ended(given_steps):
     """The fault: bytes held for callers grew until the box had no memory left."""
-    held = made()
+    held = make_held_bytes()
     for now, (stream, part) in enumerate(given_steps):
         if part == 0:
             held.close(stream)
@@ -38,34 +38,34 @@
             held.set_size(stream, held.held(stream) + part, now)
             assert held.total <= BOX + part
             held.end_largest(now)
-        assert held.total == sum(sizes(held).values()) <= BOX
+        assert held.total == sum(sizes_by_stream(held).values()) <= BOX
         assert held.end_largest(now) is None
 
 
 @given(steps)
 def test_the_largest_is_ended_and_the_others_are_untouched(given_steps):
     """The fault: the caller that came last paid for the one that does not read."""
-    held = made()
+    held = make_held_bytes()
     for now, (stream, part) in enumerate(given_steps):
         if part == 0:
             continue
         held.open(stream, now)
         held.set_size(stream, held.held(stream) + part, now)
-        before = sizes(held)
+        before = sizes_by_stream(held)
         total = held.total
         ended = held.end_largest(now)
         if ended is None:
-            assert total <= BOX and sizes(held) == before
+            assert total <= BOX and sizes_by_stream(held) == before
             continue
         assert ended.held_bytes == before[ended.stream] == max(before.values())
         assert (ended.held_in_all, ended.box_bound) == (total, BOX)
-        assert sizes(held) == before | {ended.stream: 0}
+        assert sizes_by_stream(held) == before | {ended.stream: 0}
 
 
 @given(st.integers(1, 500), st.integers(1, 10**9))
 def test_answers_at_their_bound_never_exceed_the_boxs_bound(streams, box):
     """The fault: answers within their own bounds were ended, as these did not shrink together."""
-    held = made(box=box)
+    held = make_held_bytes(box=box)
     for stream in range(streams):
         held.open(stream, 0.0)
     for stream in range(streams):
@@ -76,7 +76,7 @@
 
 def test_a_caller_that_leaves_frees_what_was_held_for_it_at_once():
     """The fault: bytes of callers that had left counted on, and another answer was ended."""
-    held = made()
+    held = make_held_bytes()
     for stream in (1, 2):
         held.open(stream, 0.0)
         held.set_size(stream, 500, 0.0)
@@ -90,7 +90,7 @@
 
 def test_the_age_counts_from_when_something_was_held_first():
     """The fault: a long stream that was read well looked like one unread for as long."""
-    held = made()
+    held = make_held_bytes()
     held.open(1, 0.0)
     held.set_size(1, 10, 5.0)
     held.set_size(1, 0, 6.0)
@@ -102,7 +102,7 @@
 
 def test_lowered_bounds_end_as_many_as_are_needed():
     """The fault: after a reload with less memory, the old bytes stayed until the next part."""
-    held = made()
+    held = make_held_bytes()
     for stream in range(4):
         held.open(stream, 0.0)
         held.set_size(stream, 200 + stream, 0.0)
--- a/tests/systems/test_plain_queue.py
+++ b/tests/systems/test_plain_queue.py
@@ -15,11 +15,11 @@
 from croftchute.systems.worker_belief import WorkerBelief
 from croftchute.tables.routing import Worker
 
-SLOTS, QUEUE = 6, 24
-TARGET_S, WORK_S, WAY_S = 0.41, 0.09, 0.002
+SLOTS, MAX_WAITING = 6, 24
+TARGET_S, WORK_S, ROUND_TRIP_S = 0.41, 0.09, 0.002
 
 
-class Workers:
+class SimulatedWorkers:
     """Three workers of six slots that serve in the order of arrival and shed beyond 24 waiting."""
 
     def __init__(self, seed):
@@ -37,7 +37,7 @@
     def send(self, number, now):
         """When the call ends; None if it is shed."""
         load = self.load(number, now)
-        if load.waiting >= QUEUE:
+        if load.waiting >= MAX_WAITING:
             self.shed += 1
             return None
         begin = max(now, heapq.heappop(self.free_at[number]))
@@ -47,18 +47,18 @@
         return end
 
 
-def play(rate, *, probes, seed=1, until=10.0):
+def simulate(rate, *, has_probes, seed=1, until=10.0):
     """Shares of the calls that ended in time, were refused, and were shed."""
-    workers, rng = Workers(seed), random.Random(seed)
+    workers, rng = SimulatedWorkers(seed), random.Random(seed)
     now, in_time, refused, total = 0.0, 0, 0, 0
     while (now := now + rng.expovariate(rate)) < until:
         total += 1
-        if probes:
-            loads = {str(n): workers.load(n, now - WAY_S) for n in range(3)}
+        if has_probes:
+            loads = {str(n): workers.load(n, now - ROUND_TRIP_S) for n in range(3)}
             chosen = choose_worker(
                 loads,
                 work_s=WORK_S,
-                target_left_s=TARGET_S - WAY_S,
+                target_left_s=TARGET_S - ROUND_TRIP_S,
                 time_left_s=4.0,
                 is_last_try=False,
             )
@@ -76,19 +76,19 @@
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_at_the_full_rate_of_the_service_calls_are_in_time_and_none_is_shed(seed):
     """The fault: one of three workers queued for a second while the two others had free slots."""
-    in_time, refused, shed = play(3 * SLOTS / WORK_S, probes=True, seed=seed)
+    in_time, refused, shed = simulate(3 * SLOTS / WORK_S, has_probes=True, seed=seed)
     assert in_time >= 0.95
     assert shed < 0.01
-    assert play(3 * SLOTS / WORK_S, probes=False, seed=seed)[0] < 0.95
+    assert simulate(3 * SLOTS / WORK_S, has_probes=False, seed=seed)[0] < 0.95
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_at_twice_the_rate_what_is_let_in_is_in_time(seed):
     """The fault: all waited in full queues, so that nearly all were late."""
-    in_time, refused, shed = play(2 * 3 * SLOTS / WORK_S, probes=True, seed=seed)
+    in_time, refused, shed = simulate(2 * 3 * SLOTS / WORK_S, has_probes=True, seed=seed)
     assert shed < 0.01
     assert in_time / (1.0 - refused) >= 0.95
-    assert in_time > 2 * play(2 * 3 * SLOTS / WORK_S, probes=False, seed=seed)[0]
+    assert in_time > 2 * simulate(2 * 3 * SLOTS / WORK_S, has_probes=False, seed=seed)[0]
 
 
 def test_a_slow_worker_gets_calls_only_where_they_still_end_soonest():
--- a/tests/systems/test_room_order.py
+++ b/tests/systems/test_room_order.py
@@ -5,7 +5,7 @@
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
-from room_world import World
+from room_simulation import RoomSimulation
 
 from croftchute.systems import timeouts
 from croftchute.systems.room_forecast import RoomWait
@@ -32,31 +32,33 @@
     targets=(WeightedService(service="s", weight=1),),
     target_gap_s=0.3,
 )
-FRESH, LATE = 0.0, 4.5
-BOTH = (ReturnMode.IN_TIME_FIRST, ReturnMode.RETURNED_FIRST)
+FIRST_TRY_S, LATE_RETRY_S = 0.0, 4.5
+RETURN_MODES = (ReturnMode.IN_TIME_FIRST, ReturnMode.RETURNED_FIRST)
 
 
-def poll(way, before_s, *, is_begun=False):
-    return timeouts.room_poll_interval_s(ROUTE, way, since_first_try_s=before_s, is_begun=is_begun)
+def poll_interval(mode, before_s, *, is_begun=False):
+    return timeouts.room_poll_interval_s(ROUTE, mode, since_first_try_s=before_s, is_begun=is_begun)
 
 
 def test_requests_that_can_be_in_time_ask_four_times_as_often_as_late_ones():
-    way = ReturnMode.IN_TIME_FIRST
-    assert 4 * poll(way, FRESH) <= poll(way, LATE)
+    mode = ReturnMode.IN_TIME_FIRST
+    assert 4 * poll_interval(mode, FIRST_TRY_S) <= poll_interval(mode, LATE_RETRY_S)
 
 
 def test_where_returned_callers_go_first_they_ask_more_often():
-    way = ReturnMode.RETURNED_FIRST
-    assert poll(way, LATE) < poll(way, FRESH)
+    mode = ReturnMode.RETURNED_FIRST
+    assert poll_interval(mode, LATE_RETRY_S) < poll_interval(mode, FIRST_TRY_S)
 
 
 def test_streams_that_were_cut_ask_most_often_either_way():
-    for way in BOTH:
-        assert poll(way, LATE, is_begun=True) <= min(poll(way, FRESH), poll(way, LATE))
+    for mode in RETURN_MODES:
+        assert poll_interval(mode, LATE_RETRY_S, is_begun=True) <= min(
+            poll_interval(mode, FIRST_TRY_S), poll_interval(mode, LATE_RETRY_S)
+        )
 
 
 def test_a_returned_caller_that_is_late_does_not_wait_as_if_it_were_in_time():
-    wait = RoomWait(elapsed_s=0.0, time_left_s=9.0, reading_s=0.2, since_first_try_s=LATE)
+    wait = RoomWait(elapsed_s=0.0, time_left_s=9.0, reading_s=0.2, since_first_try_s=LATE_RETRY_S)
     first = RoomWait(elapsed_s=0.0, time_left_s=14.0, reading_s=0.2)
     assert first.is_worthwhile(ROUTE, mean_wait_s=0.6)
     assert not wait.is_worthwhile(ROUTE, mean_wait_s=0.6)
@@ -65,17 +67,19 @@
 
 # An order by rank: one kind bursts, and callers ask for more than the engines can hold.
 
-RATES = {0: 8.0, 1: 6.0, 2: 24.0}
+RATE_BY_RANK = {0: 8.0, 1: 6.0, 2: 24.0}
 """Requests a second by rank: the least urgent kind at 2.3 times its usual."""
 
-PATIENCE_S = {0: 0.6, 1: 0.8, 2: 1.8}
+MAX_WAIT_S_BY_RANK = {0: 0.6, 1: 0.8, 2: 1.8}
 """What the targets leave for the wait: seconds."""
 
 
-def surge(way, *, boxes=61, seed=1, has_news=True, until=12.0):
-    world = World(boxes=boxes, places=80, run_s=3.4, way=way, seed=seed, has_news=has_news)
-    world.play(RATES, until=until, patience_by_rank=PATIENCE_S)
-    return world
+def run_burst(mode, *, boxes=61, seed=1, has_peer_notices=True, until=12.0):
+    simulation = RoomSimulation(
+        boxes=boxes, capacity=80, run_s=3.4, mode=mode, seed=seed, has_peer_notices=has_peer_notices
+    )
+    simulation.run(RATE_BY_RANK, until=until, max_wait_s_by_rank=MAX_WAIT_S_BY_RANK)
+    return simulation
 
 
 @pytest.mark.parametrize("boxes", [8, 61, 360])
@@ -85,36 +89,38 @@
     The two urgent kinds ask for 0.6 of the room; four of five of the first and two of three of the
     second at least have to get it.
     """
-    world = surge(OrderMode.ENTRY, boxes=boxes)
-    assert world.served(0) >= 0.8
-    assert world.served(1) >= 0.67
-    assert world.served(0) >= world.served(1) >= world.served(2)
-    assert surge(OrderMode.UNORDERED, boxes=boxes).served(0) < 0.8
+    simulation = run_burst(OrderMode.ENTRY, boxes=boxes)
+    assert simulation.served_share(0) >= 0.8
+    assert simulation.served_share(1) >= 0.67
+    assert simulation.served_share(0) >= simulation.served_share(1) >= simulation.served_share(2)
+    assert run_burst(OrderMode.UNORDERED, boxes=boxes).served_share(0) < 0.8
 
 
 def test_the_order_wastes_no_room():
     """Requests that hold back must not leave engines idle."""
-    ordered, unordered = surge(OrderMode.ENTRY), surge(OrderMode.UNORDERED)
-    total = [sum(map(len, world.waits_by_rank.values())) for world in (ordered, unordered)]
+    ordered, unordered = run_burst(OrderMode.ENTRY), run_burst(OrderMode.UNORDERED)
+    total = [
+        sum(map(len, simulation.waits_by_rank.values())) for simulation in (ordered, unordered)
+    ]
     assert total[0] >= 0.9 * total[1]
 
 
 def test_the_least_urgent_are_not_starved():
-    world = surge(OrderMode.ENTRY, until=20.0)
-    assert world.served(2) > 0.15
+    simulation = run_burst(OrderMode.ENTRY, until=20.0)
+    assert simulation.served_share(2) > 0.15
 
 
 def test_a_box_without_news_orders_its_own_requests():
     """Cut off, or just started: it goes by what it sees itself, and serves the urgent no worse."""
-    world = surge(OrderMode.ENTRY, boxes=8, has_news=False)
-    assert world.served(0) >= world.served(2)
+    simulation = run_burst(OrderMode.ENTRY, boxes=8, has_peer_notices=False)
+    assert simulation.served_share(0) >= simulation.served_share(2)
 
 
 def test_calm_load_is_served_alike_in_any_way():
-    for way in (OrderMode.UNORDERED, OrderMode.PACED, OrderMode.ENTRY):
-        world = World(boxes=61, places=140, run_s=3.4, way=way)
-        world.play({0: 8.0, 1: 6.0, 2: 10.0}, until=10.0, patience_by_rank=PATIENCE_S)
-        assert min(world.served(rank) for rank in RATES) > 0.97
+    for mode in (OrderMode.UNORDERED, OrderMode.PACED, OrderMode.ENTRY):
+        simulation = RoomSimulation(boxes=61, capacity=140, run_s=3.4, mode=mode)
+        simulation.run({0: 8.0, 1: 6.0, 2: 10.0}, until=10.0, max_wait_s_by_rank=MAX_WAIT_S_BY_RANK)
+        assert min(simulation.served_share(rank) for rank in RATE_BY_RANK) > 0.97
 
 
 @given(
@@ -149,12 +155,12 @@
     assert room.waiting_by_rank() == {}
 
 
-@pytest.mark.parametrize("odd", [math.nan, math.inf, -math.inf, -1.0, -1e300, 1e300])
-def test_odd_figures_of_a_peer_change_nothing(odd):
+@pytest.mark.parametrize("invalid", [math.nan, math.inf, -math.inf, -1.0, -1e300, 1e300])
+def test_odd_figures_of_a_peer_change_nothing(invalid):
     """The fault: -1 grants were divided by as none, NaN refused all requests of the service, and
     seconds without end held back all but the most urgent."""
     known = [RankRoomNotice(rank=1, waited_s=3.0, grants=2.0, waiting=1)]
-    for waited_s, grants in ((odd, 1.0), (1.0, odd), (odd, odd)):
+    for waited_s, grants in ((invalid, 1.0), (1.0, invalid), (invalid, invalid)):
         for rank in (0, 1, 2):
             row = RankRoomNotice(rank=rank, waited_s=waited_s, grants=grants, waiting=1)
             assert RoomView.of([*known, row]) == RoomView.of(known)
--- a/tests/systems/test_unordered_room.py
+++ b/tests/systems/test_unordered_room.py
@@ -5,7 +5,7 @@
 import pytest
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
-from room_run import FOUND, FULL, NO_WORKER, Bench, ScriptedRoom, organisation
+from room_harness import FULL, GRANTED, NO_WORKER, RoomHarness, ScriptedRoom, organisation
 
 from croftchute.errors import Code, Ran
 from croftchute.forwarding.decision_log import Decision
@@ -17,13 +17,15 @@
 
 UNORDERED = {"priorities": (0, 1, 2), "order": OrderMode.UNORDERED}
 ONE_PRIORITY = {"priorities": (2,), "order": OrderMode.AUTO}
-either = pytest.mark.parametrize("ways", [UNORDERED, ONE_PRIORITY], ids=["unordered", "one"])
+each_unordered_mode = pytest.mark.parametrize(
+    "options", [UNORDERED, ONE_PRIORITY], ids=["unordered", "one"]
+)
 
-scripts = st.lists(st.sampled_from([FULL, FULL, FULL, NO_WORKER, FOUND]), min_size=1, max_size=12)
+scripts = st.lists(st.sampled_from([FULL, FULL, FULL, NO_WORKER, GRANTED]), min_size=1, max_size=12)
 waits = st.sampled_from([0.0, 0.2, 0.6, 3.0, 30.0])
 
 
-class RoomBefore(ScriptedRoom):
+class ReferenceRoom(ScriptedRoom):
     """Waits as the code did before there was an order; kept here to compare with."""
 
     async def reserve(self):
@@ -80,7 +82,7 @@
         return False
 
 
-def refuse_before(run, room):
+def reference_refusal(run, room):
     """Refuse with the Retry-After that was sent before there was an order."""
     code = room.code or Code.NO_UPSTREAM
     mean_wait_s = run.state.mean_room_wait_s(run.service) if run.full else None
@@ -90,31 +92,33 @@
     return code, retry_after_s
 
 
-def outcome(bench, run, room, found):
+def outcome(harness, run, room, found):
     return {
         "found": found is not None,
         "asks": room.asks,
-        "sleeps": bench.sleeps,
-        "at": bench.now,
+        "sleeps": harness.sleeps,
+        "at": harness.now,
         "lines": [
             (kind, fields)
-            for kind, fields in bench.log.lines
+            for kind, fields in harness.log.lines
             if kind is not Decision.REQUEST_REFUSED
         ],
         "code": room.code,
         "detail": room.detail,
-        "history": bench.state.room("llm").counts(bench.now),
-        "granted": bench.state.demand("llm").counts(bench.now).granted,
+        "history": harness.state.room("llm").counts(harness.now),
+        "granted": harness.state.demand("llm").counts(harness.now).granted,
     }
 
 
-@either
+@each_unordered_mode
 @settings(
     suppress_health_check=[HealthCheck.function_scoped_fixture], max_examples=60, deadline=None
 )
-@given(script=scripts, waited=waits, begun=st.booleans(), deadline_s=st.sampled_from([1.0, 8.0]))
+@given(
+    script=scripts, waited_s=waits, is_started=st.booleans(), deadline_s=st.sampled_from([1.0, 8.0])
+)
 def test_requests_wait_are_logged_and_refused_as_before(
-    monkeypatch, ways, script, waited, begun, deadline_s
+    monkeypatch, options, script, waited_s, is_started, deadline_s
 ):
     """Guards against a deployment without an order whose outcomes change by an upgrade.
 
@@ -122,57 +126,57 @@
     """
     script = [*script, FULL]
     results = []
-    for room_kind in (RoomBefore, ScriptedRoom):
+    for room_class in (ReferenceRoom, ScriptedRoom):
         with monkeypatch.context() as patch:
-            bench = Bench(patch, organisations=[organisation("o", priority=3)], **ways)
-            bench.state.room("llm").note_waited(waited, bench.now)
-            run = bench.request(2, organisation="o", deadline_s=deadline_s)
-            run.exchange.is_started = begun
-            room, found = bench.reserve(run, script, room=room_kind(run=run))
-            result = outcome(bench, run, room, found)
-            if found is None and not begun:
-                if room_kind is RoomBefore:
-                    result["refusal"] = refuse_before(run, room)
+            harness = RoomHarness(patch, organisations=[organisation("o", priority=3)], **options)
+            harness.state.room("llm").note_waited(waited_s, harness.now)
+            run = harness.request(2, organisation="o", deadline_s=deadline_s)
+            run.exchange.is_started = is_started
+            room, found = harness.reserve(run, script, room=room_class(run=run))
+            result = outcome(harness, run, room, found)
+            if found is None and not is_started:
+                if room_class is ReferenceRoom:
+                    result["refusal"] = reference_refusal(run, room)
                 else:
-                    bench.refuse(run, room)
-                    kind, fields = bench.log.lines[-1]
+                    harness.refuse(run, room)
+                    kind, fields = harness.log.lines[-1]
                     assert kind is Decision.REQUEST_REFUSED
                     result["refusal"] = Code(fields["outcome"]), fields["retry_after_s"]
             results.append(result)
     assert results[0] == results[1]
 
 
-@either
-def test_nothing_of_an_order_is_kept_logged_or_told(monkeypatch, ways):
+@each_unordered_mode
+def test_nothing_of_an_order_is_kept_logged_or_told(monkeypatch, options):
     """Guards against notices and lines that grow where no order is in force."""
-    bench = Bench(monkeypatch, organisations=[organisation("o", rate_per_s=5.0)], **ways)
-    run = bench.request(2, organisation="o")
-    room, found = bench.reserve(run, [FULL, FULL, FOUND])
+    harness = RoomHarness(monkeypatch, organisations=[organisation("o", rate_per_s=5.0)], **options)
+    run = harness.request(2, organisation="o")
+    room, found = harness.reserve(run, [FULL, FULL, GRANTED])
     assert found is not None and not run.held_back
-    state = bench.state
+    state = harness.state
     assert state.ranked_room_by_service == {} and state.use_by_service == {}
     assert order_facts(run) == {}
 
 
-@either
-def test_engines_get_the_priority_of_before(monkeypatch, ways):
+@each_unordered_mode
+def test_engines_get_the_priority_of_before(monkeypatch, options):
     """Guards against ranks in the place of priorities at engines and permits: the organisation's
     priority if it has one, else the route's."""
-    bench = Bench(
-        monkeypatch, organisations=[organisation("o", priority=7), organisation("p")], **ways
+    harness = RoomHarness(
+        monkeypatch, organisations=[organisation("o", priority=7), organisation("p")], **options
     )
-    assert bench.request(2, organisation="o").rank == 7
-    assert bench.request(2, organisation="p").rank == 2
-    assert bench.request(2).rank == 2
+    assert harness.request(2, organisation="o").rank == 7
+    assert harness.request(2, organisation="p").rank == 2
+    assert harness.request(2).rank == 2
 
 
-@either
-def test_the_refusal_of_a_full_service_is_the_same(monkeypatch, ways):
+@each_unordered_mode
+def test_the_refusal_of_a_full_service_is_the_same(monkeypatch, options):
     """Guards against another status, code or header of the answer itself."""
-    bench = Bench(monkeypatch, **ways)
-    bench.state.room("llm").note_waited(50.0, bench.now)
-    run = bench.request(2, deadline_s=8.0)
-    room, found = bench.reserve(run, [FULL])
+    harness = RoomHarness(monkeypatch, **options)
+    harness.state.room("llm").note_waited(50.0, harness.now)
+    run = harness.request(2, deadline_s=8.0)
+    room, found = harness.reserve(run, [FULL])
     assert found is None
     run.refuse(room.code, Ran.NOT_RUN, room.detail)
     head = run.connection.sent
