--- a/src/croftchute/systems/fair_shares.py
+++ b/src/croftchute/systems/fair_shares.py
@@ -1,8 +1,9 @@
-"""Whether an organisation has more than its fair share of decode memory while that is short.
+"""Fair shares of decode memory among organisations while it is short.
 
-Each box counts what requests of each organisation asked for and got, and tells the others. Where
-less was granted than asked, what was granted is divided by weighted max-min fairness: nobody gets
-more than it asked, and what one leaves goes to the others.
+Each box counts the tokens of decode memory that the requests of each organisation asked for and
+were granted, and reports both to its peers. If less was granted than asked, the granted tokens are
+divided by weighted max-min fairness: no organisation gets more than it asked for, and what one
+leaves unused goes to the others.
 """
 
 from __future__ import annotations
@@ -15,27 +16,29 @@
 from croftchute.tables.peers import OrganisationUseNotice
 
 HALF_LIFE_S = 4.0
-"""Seconds after which use counts half: longer than a stream runs, shorter than a flood lasts."""
+"""Half-life of counted use: longer than a stream, shorter than a flood of requests."""
 
 MIN_KEPT_TOKENS = 1.0
-"""Tokens of use under which an organisation is forgotten: a minute after its last request."""
+"""Tokens of use below which an organisation is dropped, about a minute after its last request."""
 
 MAX_ORGANISATIONS_PER_NOTICE = 16
-"""Organisations told of in one notice, those that asked for the most: bounds a datagram."""
+"""Largest number of organisations in one notice, those that asked for the most. It bounds the size
+of a datagram."""
 
 SCARCE_RATIO = 0.9
-"""Granted over asked under which room is short: some requests ask just before they get it."""
+"""Ratio of granted to asked tokens below which room counts as short. It is below 1 because some
+requests have asked and will get room in a moment."""
 
 MAX_REPORTED_TOKENS = 1e9
-"""Tokens of use beyond which what a peer tells is ignored: a thousand engines' memory."""
+"""Largest use in tokens that a box accepts from a peer: the memory of a thousand engines."""
 
 SHARE_TOLERANCE = 0.1
-"""Share of its fair part by which an organisation may be over it: one request more or less."""
+"""Relative excess over its share that an organisation may have: about one request."""
 
 
 @dataclass(kw_only=True, slots=True)
 class _DecayedUse:
-    """Decayed sums of one organisation, as of a time."""
+    """Decayed sums of one organisation, as of ``updated_at``."""
 
     asked: float = 0.0
     granted: float = 0.0
@@ -50,23 +53,24 @@
 
 @dataclass(kw_only=True)
 class OrganisationUse:
-    """Tokens that organisations asked room for at one box and service, and those they got."""
+    """Tokens that organisations asked for and were granted at one box and service."""
 
     _use_by_name: dict[str, _DecayedUse] = field(default_factory=dict)
 
     def note_asked(self, name: str, tokens: int, now: float) -> None:
-        """A request asks for room; each request counts once."""
+        """Count a request that asks for room; each request counts once."""
         self._decayed(name, now).asked += tokens
 
     def note_granted(self, name: str, tokens: int, now: float, *, waited_s: float = 0.0) -> None:
-        """A request got room; it counts as much as its asking does by now, ``waited_s`` later.
+        """Count a grant, decayed as much as the request that was counted ``waited_s`` earlier.
 
-        An organisation whose requests all waited and got room would else have more than it asked.
+        Otherwise an organisation whose requests all waited and got room would have more granted
+        than asked.
         """
         self._decayed(name, now).granted += tokens * 0.5 ** (max(0.0, waited_s) / HALF_LIFE_S)
 
     def notices(self, now: float) -> tuple[OrganisationUseNotice, ...]:
-        """What peers are told: the organisations that asked for the most."""
+        """Return the reports to peers on the organisations that asked for the most."""
         for name in list(self._use_by_name):
             if self._decayed(name, now).asked < MIN_KEPT_TOKENS:
                 del self._use_by_name[name]
@@ -86,7 +90,10 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class ShareVerdict:
-    """Whether an organisation is over its share: ``share`` and ``used`` of all that is granted."""
+    """Whether an organisation is over its share.
+
+    ``share`` and ``used`` are its fair and its actual fraction of all granted tokens.
+    """
 
     is_over: bool = False
     is_scarce: bool = False
@@ -97,10 +104,10 @@
 def share_verdict(
     name: str, uses: Iterable[OrganisationUseNotice], weights_by_name: Mapping[str, float]
 ) -> ShareVerdict:
-    """Judge one organisation by the use that this box saw and its peers told.
+    """Return the verdict on one organisation from the use seen by this box and its peers.
 
-    ``weights_by_name`` are the limits of organisations; one without a limit weighs as much as the
-    mean of the others.
+    ``weights_by_name`` holds the limits of organisations. An organisation without a limit has the
+    mean weight of the others.
 
     >>> uses = [
     ...     OrganisationUseNotice(name="flood", asked_tokens=90.0, granted_tokens=40.0),
@@ -118,7 +125,9 @@
 def share_verdicts(
     uses: Iterable[OrganisationUseNotice], weights_by_name: Mapping[str, float]
 ) -> dict[str, ShareVerdict]:
-    """Judge all organisations at once; those that are not named, or all, are within their shares.
+    """Return the verdicts on all organisations; those left out are within their shares.
+
+    The result is empty while room is not short.
 
     >>> share_verdicts([], {})
     {}
@@ -142,7 +151,7 @@
 def fair_shares(
     demand_by_name: Mapping[str, float], weights_by_name: Mapping[str, float], capacity: float
 ) -> dict[str, float]:
-    """What each gets of a capacity by weighted max-min fairness.
+    """Divide a capacity by weighted max-min fairness.
 
     >>> fair_shares({"a": 2.0, "b": 8.0, "c": 10.0}, {"a": 1, "b": 1, "c": 2}, 11.0)
     {'a': 2.0, 'c': 6.0, 'b': 3.0}
@@ -155,9 +164,9 @@
         name: weights_by_name.get(name, 0.0) or default_weight for name in demand_by_name
     }
     shares: dict[str, float] = {}
-    # The smallest demand for its weight is met first: the others share what it leaves.
+    # Meets the smallest demand per weight first; the others share what it leaves.
     names = sorted(demand_by_name, key=lambda n: demand_by_name[n] / weight_by_name[n])
-    # Summed from the end: subtracting from the whole leaves 0 for a weight that is tiny beside it.
+    # Sums from the end: subtracting from the total yields 0 for a weight tiny next to another.
     remaining_weights = [*accumulate(weight_by_name[name] for name in reversed(names))]
     remaining = capacity
     for name, remaining_weight in zip(names, reversed(remaining_weights), strict=True):
@@ -168,9 +177,10 @@
 
 
 def _totals(uses: Iterable[OrganisationUseNotice]) -> tuple[dict[str, float], dict[str, float]]:
-    """What each organisation asked and got, by all who tell of it; odd figures are left out.
+    """Return the tokens asked and granted per organisation, ignoring invalid reports.
 
-    What it got counts as asked at least: the two come from notices that are rounded apart.
+    Granted tokens count as asked at least, since the two come from notices that are rounded
+    separately.
     """
     asked_by_name: dict[str, float] = {}
     granted_by_name: dict[str, float] = {}
--- a/src/croftchute/systems/first_tries.py
+++ b/src/croftchute/systems/first_tries.py
@@ -1,7 +1,8 @@
-"""How long ago a caller first tried, by how much less time it has left than first tries have.
+"""Time since a caller's first try, derived from the time that it has left.
 
-Callers name what is left of their time, not when they began. First tries have the most; what that
-is, is learnt from the requests of each route, since callers need not use all of the route's time.
+Callers send how much time they have left, not when they started. First tries have the most. The
+router learns that maximum per route from the requests, since callers need not use the whole timeout
+of the route.
 """
 
 from __future__ import annotations
@@ -9,12 +10,12 @@
 from dataclasses import dataclass, field
 
 MIN_WINDOW_S = 15.0
-"""Seconds for which the most that was seen counts, at least: longer than callers go on trying."""
+"""Seconds for which an observed maximum counts at least: longer than callers keep trying."""
 
 
 @dataclass(kw_only=True, slots=True)
 class _MaxTimeLeft:
-    """The most time left in the present span and in the one before it."""
+    """Largest time left in the current window and in the previous one."""
 
     began_at: float
     current_s: float = 0.0
@@ -23,12 +24,12 @@
 
 @dataclass(kw_only=True)
 class FirstTryTimes:
-    """The time that first tries of each route have left."""
+    """Largest time left that requests of each route had: that of first tries."""
 
     _max_time_left_by_route: dict[str, _MaxTimeLeft] = field(default_factory=dict)
 
     def since_first_try_s(self, route: str, time_left_s: float | None, now: float) -> float:
-        """Seconds since the first try of a caller that has so much time left; notes it.
+        """Return the seconds since the caller's first try, and record its time left.
 
         >>> tries = FirstTryTimes()
         >>> tries.since_first_try_s("r", 14.2, now=0.0), tries.since_first_try_s("r", 9.7, now=1.0)
--- a/src/croftchute/systems/held_bytes.py
+++ b/src/croftchute/systems/held_bytes.py
@@ -1,8 +1,9 @@
-"""The bytes that a box holds for callers that read slowly, their bounds, and who exceeds them.
+"""Limits on the bytes that a box buffers for callers that read slowly.
 
-An answer that is left unread is cut off by its worker after some seconds, so the box reads on and
-holds what the caller has not read. Each answer has a bound, beyond which its worker is not read;
-all together have another, beyond which the answer that holds the most is ended.
+A worker cuts off an answer that is left unread for some seconds. The box therefore reads on and
+holds what the caller has not read yet. Each answer has a bound: at the bound its worker is not read
+any further. All answers together have a bound as well: above it the answer that holds the most
+bytes is ended.
 """
 
 from __future__ import annotations
@@ -11,10 +12,11 @@
 from dataclasses import dataclass
 
 BYTES_PER_MB = 1_000_000
-"""Bytes in a megabyte of the settings: the smaller of the two usual meanings."""
+"""Bytes in a megabyte of the settings: the smaller of the two usual definitions."""
 
 HELD_MEMORY_SHARE = 0.25
-"""Share of a box's memory for held bytes: the program itself needs most of the smallest boxes'."""
+"""Share of a box's memory for held bytes: on the smallest boxes the program itself needs most of
+it."""
 
 MAX_STREAM_BYTES = 256 * 1024
 """Most bytes held for one answer: several times a stream of 630 tokens with its framing."""
@@ -22,14 +24,14 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class HeldBounds:
-    """The most bytes held for all callers together, and for one answer."""
+    """Bounds in bytes for all callers of a box together, and for one answer."""
 
     box_bytes: int
     stream_bytes: int = MAX_STREAM_BYTES
 
     @classmethod
     def of_memory(cls, memory_mb: float) -> HeldBounds | None:
-        """The bounds of a box with some memory in MB; None if the figure tells nothing.
+        """Return the bounds of a box with ``memory_mb`` MB, or None if the value is unusable.
 
         >>> HeldBounds.of_memory(136.0)
         HeldBounds(box_bytes=34000000, stream_bytes=262144)
@@ -43,11 +45,11 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class EndedStream:
-    """An answer that is to be ended, and what decided it.
+    """An answer that has been ended, with the values that led to it.
 
-    ``held_bytes`` and ``held_in_all`` are in bytes and include the answer; ``box_bound`` and
-    ``stream_bound`` are the bounds at that time; ``age_s`` is for how long the answer has had
-    held bytes.
+    ``held_bytes`` and ``held_in_all`` include the answer. ``box_bound`` and ``stream_bound`` are
+    the bounds in bytes at that time. ``age_s`` is how long the answer has had held bytes without a
+    break.
     """
 
     stream: int
@@ -61,16 +63,16 @@
 
 @dataclass(kw_only=True, slots=True)
 class _StreamUsage:
-    """What is held for one answer, and since when there has been anything."""
+    """Bytes held for one answer, and since when it has held any."""
 
     size: int
     since: float
 
 
 class HeldBytes:
-    """The bytes held by answer, which are known by numbers, and in all.
+    """Count of the bytes held per answer, by the answer's number, and in total.
 
-    Without bounds nothing is ended.
+    Without bounds no answer is ended.
     """
 
     def __init__(self, *, bounds: HeldBounds | None) -> None:
@@ -80,34 +82,34 @@
 
     @property
     def open_streams(self) -> int:
-        """How many answers are open."""
+        """Number of open answers."""
         return len(self._by_stream)
 
     @property
     def stream_bound(self) -> int:
-        """The most bytes to hold for one answer while as many are open as now."""
+        """Most bytes to hold for one answer, given the number of open answers."""
         bounds = self.bounds
         if bounds is None:
             return MAX_STREAM_BYTES
         return min(bounds.stream_bytes, bounds.box_bytes // max(1, self.open_streams))
 
     def held(self, stream: int) -> int:
-        """The bytes held for an answer; 0 if it is not open."""
+        """Return the bytes held for an answer; 0 if it is not open."""
         usage = self._by_stream.get(stream)
         return usage.size if usage is not None else 0
 
     def open(self, stream: int, now: float) -> None:
-        """An answer has begun; nothing is held for it yet."""
+        """Start counting an answer, with nothing held for it yet."""
         self._by_stream.setdefault(stream, _StreamUsage(size=0, since=now))
 
     def close(self, stream: int) -> None:
-        """An answer has ended, or its caller has left: nothing is held for it any more."""
+        """Stop counting an answer that has ended or whose caller has left."""
         usage = self._by_stream.pop(stream, None)
         if usage is not None:
             self.total -= usage.size
 
     def set_size(self, stream: int, size: int, now: float) -> None:
-        """So many bytes are held for an answer now; no change for one that is not open."""
+        """Set the bytes held for an answer; ignored if the answer is not open."""
         usage = self._by_stream.get(stream)
         if usage is None or size < 0:
             return
@@ -122,10 +124,11 @@
         return self.bounds is not None and self.total > self.bounds.box_bytes
 
     def end_largest(self, now: float) -> EndedStream | None:
-        """Close the answer that holds the most if the box's bound is exceeded, else None.
+        """Close and return the answer that holds the most if the box's bound is exceeded, else
+        None.
 
-        Of equals it is the one that was opened first. As the answer that grew last is among the
-        candidates, ending one is enough unless the bounds were lowered.
+        Of equal answers it closes the one that was opened first. The answer that grew last is among
+        the candidates, so ending one is enough unless the bounds were lowered.
         """
         bounds = self.bounds
         if bounds is None or not self.exceeds_bound:
--- a/src/croftchute/systems/plain_queue.py
+++ b/src/croftchute/systems/plain_queue.py
@@ -1,9 +1,9 @@
-"""When a plain call ends at each worker of a small service, and whether it is let in at all.
+"""Admission and placement of plain calls at a small service whose workers queue.
 
-A few workers of a few slots stand before many boxes. No box sees what the others send, and what
-answers told is old within one working time. While a worker queues, boxes ask the workers for
-their load before each call, send it where it ends soonest, and refuse at once what would be late
-everywhere.
+A few workers with a few slots each serve many boxes. No box sees the calls of the others, and the
+load reported with an answer is outdated within one working time. While a worker has a queue, a box
+asks the workers for their load before each call, sends the call where it will end soonest, and
+refuses at once a call that would be late everywhere.
 """
 
 from __future__ import annotations
@@ -16,20 +16,21 @@
 from croftchute.tables.routing import Route
 
 BUSY_WINDOW_S = 1.0
-"""Seconds for which a service counts as busy after an answer told of a queue, or a rejection: a
-queue of two dozen calls drains in less."""
+"""Seconds for which a service counts as busy after an answer reported a queue, or a worker rejected
+a call. A queue of two dozen calls drains in less."""
 
 WORK_TIME_SAMPLE_WEIGHT = 0.1
-"""Weight of the newest answer in the usual working time: ten or so make it."""
+"""Weight of the latest answer in the moving average of the working time, which thus covers about
+ten answers."""
 
 LONG_CALL_RATIO = 2.0
-"""Working times that a call is reckoned with: nineteen of twenty take no more, by the spread of the
-times that the users' sheets name."""
+"""Working times that a call is assumed to take: nineteen of twenty calls take no more, by the
+spread of the times in the platform's user sheets."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class QueueLoad:
-    """What a worker runs and keeps waiting, and its pace over the usual."""
+    """Running and waiting calls of a worker, its slots, and its pace relative to the usual one."""
 
     running: int
     waiting: int
@@ -37,9 +38,9 @@
     pace: float = 1.0
 
     def end_s(self, work_s: float, *, work_ratio: float = 1.0) -> float:
-        """Seconds until one more call would end, if one takes ``work_s`` at the usual pace.
+        """Return the seconds until another call would end.
 
-        ``work_ratio`` is how many times as long the call itself takes.
+        ``work_s`` is the usual working time. The call itself takes ``work_ratio`` times as long.
 
         >>> QueueLoad(running=3, waiting=0, slots=6).end_s(0.09)
         0.09
@@ -52,12 +53,12 @@
 
 @dataclass(kw_only=True, slots=True)
 class MeanWorkTime:
-    """The usual working time of a plain service in seconds, waits left out; 0 while not known."""
+    """Moving average of a plain service's working time in seconds, without waits; 0 if unknown."""
 
     usual_s: float = 0.0
 
     def note(self, seconds: float, *, waiting: int) -> None:
-        """An answer took some seconds; those beside which others waited tell of the queue."""
+        """Add the time of an answer, unless other calls waited: that time includes the queue."""
         if waiting > 0 or seconds <= 0.0:
             return
         if self.usual_s == 0.0:
@@ -67,23 +68,23 @@
 
 @dataclass(kw_only=True)
 class WorkTimesByService:
-    """The usual working times of plain services, by name."""
+    """Mean working times of plain services, by name."""
 
     _time_by_service: dict[str, MeanWorkTime] = field(default_factory=dict)
 
     def note(self, service: str, seconds: float, *, waiting: int) -> None:
-        """An answer of a service took some seconds, while so many calls waited at its worker."""
+        """Add the time of an answer while ``waiting`` calls were queued at its worker."""
         self._time_by_service.setdefault(service, MeanWorkTime()).note(seconds, waiting=waiting)
 
     def usual_s(self, service: str) -> float:
-        """The usual working time in seconds; 0 while not known."""
+        """Return the mean working time in seconds; 0 if unknown."""
         time = self._time_by_service.get(service)
         return time.usual_s if time is not None else 0.0
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class PlainChoice:
-    """Where a call ends soonest; ``end_s`` from now. It is let in unless ``is_refused``."""
+    """The worker where a call ends soonest, ``end_s`` from now, unless the call ``is_refused``."""
 
     worker_id: str
     end_s: float
@@ -91,12 +92,12 @@
 
 
 def is_returning_caller(route: Route, since_first_try_s: float) -> bool:
-    """Whether a caller was asked back after its first try, and can't come again."""
+    """Return whether a caller came back after a refusal, so that it cannot come again."""
     return since_first_try_s > (1.0 - FIRST_TRY_MIN_TIME_SHARE) * route.timeout_s
 
 
 def is_busy(beliefs: Sequence[WorkerBelief], now: float) -> bool:
-    """Whether a worker of the service told of a queue lately, or rejected a call."""
+    """Return whether a worker of the service reported a queue or rejected a call lately."""
     return any(
         now - belief.rejected_at <= BUSY_WINDOW_S
         or (belief.load_waiting > 0 and now - belief.load_at <= BUSY_WINDOW_S)
@@ -112,10 +113,10 @@
     time_left_s: float,
     is_last_try: bool,
 ) -> PlainChoice | None:
-    """The worker where a call ends soonest; None without any load to go by.
+    """Return the worker where a call ends soonest, or None if no load or working time is known.
 
-    A call that would be late everywhere is refused while its caller can come again: it would make
-    others late as well. On the last try it is let in as long as its caller waits.
+    A call that would be late everywhere is refused while its caller can come again, since it would
+    make other calls late as well. On the last try it is admitted if it ends while its caller waits.
 
     >>> loads = {"a": QueueLoad(running=6, waiting=24, slots=6),
     ...          "b": QueueLoad(running=6, waiting=3, slots=6)}
--- a/src/croftchute/systems/request_rank.py
+++ b/src/croftchute/systems/request_rank.py
@@ -1,4 +1,4 @@
-"""The order among requests for the same engines, by the priorities that a configuration states."""
+"""Ranks of requests for the same engines, derived from the configured priorities."""
 
 from __future__ import annotations
 
@@ -9,20 +9,21 @@
 from croftchute.tables.routing import RouteKind, RoutingTable
 
 DEFAULT_PRIORITY = 5
-"""Priority of an organisation that states none: the middle of the scale of engines."""
+"""Priority of an organisation without one: the middle of the engines' scale."""
 
 MAX_RANKS = 10
-"""Ranks that are told apart: as many as the engines' scale of priorities has."""
+"""Largest number of distinct ranks: the engines' scale has as many priorities."""
 
 PriorityPair = tuple[int, int]
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class RequestRanks:
-    """The ranks of the streams to one service; 0 is the most urgent.
+    """Ranks of the streams to one service; 0 is the most urgent.
 
-    A rank is the place of a pair of priorities, the organisation's before the route's. Where all
-    streaming routes have one priority, the operator states no order and ``is_ordered`` is false.
+    A rank is the position of a pair of priorities, sorted by the organisation's priority, then by
+    the route's. If all streaming routes have the same priority, the operator has configured no
+    order and ``is_ordered`` is false.
     """
 
     is_ordered: bool = False
@@ -30,7 +31,7 @@
 
     @classmethod
     def of_service(cls, table: RoutingTable, service: str) -> Self:
-        """The ranks that a configuration gives to the streams to a service."""
+        """Return the ranks that a configuration gives to the streams to a service."""
         routes = {
             route.priority
             for group in table.routes_by_host.values()
@@ -42,7 +43,7 @@
 
     @classmethod
     def of_priorities(cls, routes: Iterable[int], organisations: Iterable[int | None]) -> Self:
-        """The ranks of all pairs of some priorities.
+        """Return the ranks of all pairs of route and organisation priorities.
 
         >>> ranks = RequestRanks.of_priorities({0, 2}, {None, 1})
         >>> ranks.rank(1, 0), ranks.rank(1, 2), ranks.rank(None, 0), ranks.rank(None, 2)
@@ -58,11 +59,11 @@
 
     @property
     def count(self) -> int:
-        """How many ranks there are."""
+        """Number of ranks."""
         return 1 + max(self.rank_by_priorities.values(), default=0)
 
     def rank(self, organisation_priority: int | None, route_priority: int) -> int:
-        """The rank of a request by both priorities; pairs of another configuration go last."""
+        """Return the rank of a request; pairs that the configuration lacks go last."""
         return self.rank_by_priorities.get(
             (_priority_or_default(organisation_priority), route_priority), self.count - 1
         )
@@ -73,7 +74,7 @@
 
 
 def _organisation_priorities(table: RoutingTable) -> set[int | None]:
-    """The priorities of all organisations, and None for requests that belong to none."""
+    """Return the priorities of all organisations, with None for requests that have none."""
     if table.organisations is None:
         return {None}
     stated = {organisation.priority for organisation in table.organisations.by_name.values()}
--- a/src/croftchute/systems/room_forecast.py
+++ b/src/croftchute/systems/room_forecast.py
@@ -1,8 +1,8 @@
-"""How soon decode memory comes free, and whether a request should wait for it.
+"""Forecast of the wait for decode memory, and whether a request should wait for it.
 
-Requests that found all engines full wait and ask again. What they waited, and how often one of
-them got room, give the mean time until room comes. A request waits only while the answer is likely
-to come; otherwise its caller hears at once that it did not run, and when to come back.
+A request that finds all engines full polls until one has room. The time that requests waited and
+the number of grants give the mean wait for room. A request waits only while its caller is likely to
+get an answer; otherwise it is refused at once, with a Retry-After.
 """
 
 from __future__ import annotations
@@ -12,36 +12,37 @@
 from croftchute.tables.routing import Route
 
 HALF_LIFE_S = 2.0
-"""Seconds after which what was seen counts half: surges begin and end within some."""
+"""Half-life of observed waits and grants: load peaks start and end within some seconds."""
 
 PRIOR_GRANTS = 1.0
-"""Grants that count as seen from the start: the weight of ``PRIOR_WAIT_S``."""
+"""Grants assumed at the start: the weight of ``PRIOR_WAIT_S``."""
 
 PRIOR_WAIT_S = 0.3
-"""Wait taken as usual until some were seen: an engine of a dozen streams of a second or two ends
-one every tenth of a second, and several engines are asked."""
+"""Mean wait assumed until some are observed. An engine with a dozen streams of a second or two ends
+one every tenth of a second, and several engines are polled."""
 
 MAX_LATE_MEAN_WAIT_S = 0.4
-"""Mean time until room up to which a request that is late already goes on waiting: a late answer
-is worth a fifth of one in time, and a wait in vain costs by its length, so room must be near."""
+"""Largest mean wait for room at which a late request goes on waiting. A late answer is worth a
+fifth of one in time, and waiting in vain costs more the longer it takes, so room must be near."""
 
 CALLER_TIMEOUT_TARGETS = 4.0
-"""Targets after which callers give a stream up that has not begun (platform)."""
+"""Multiple of the target after which callers abandon a stream that has not started, as the platform
+defines it."""
 
 CALLER_TIMEOUT_GAPS = 8.0
-"""Longest good pauses after which they do."""
+"""Multiple of the target gap after which callers abandon it, if that is longer."""
 
 MIN_CALLER_TIMEOUT_S = 2.0
-"""Seconds for which they wait in any case."""
+"""Seconds that callers wait for a stream to start in any case."""
 
 MAX_LATE_WAIT_SHARE = 0.5
-"""Share of the caller's patience after which waiting ends: reading and the first event fit the
-rest with a margin for queues."""
+"""Share of the caller's timeout after which a request stops waiting for room. Reading the prompt
+and the first event fit into the rest, with a margin for queues."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class RoomCounts:
-    """Seconds waited for room and how often it came, each counting less the older it is."""
+    """Seconds waited for room and number of grants, decayed with age."""
 
     waited_s: float = 0.0
     grants: float = 0.0
@@ -53,7 +54,7 @@
 
     @property
     def mean_wait_s(self) -> float:
-        """How long a request that finds no room waits on average until some comes.
+        """Mean wait for room of a request that found none.
 
         >>> RoomCounts().mean_wait_s
         0.3
@@ -66,21 +67,21 @@
 
 @dataclass(kw_only=True)
 class RoomHistory:
-    """What the requests of one box waited for room lately."""
+    """Decayed waits for room of the requests of one box."""
 
     _counts: RoomCounts = RoomCounts()
     _updated_at: float = 0.0
 
     def note_waited(self, seconds: float, now: float) -> None:
-        """A request waited, and has no room yet."""
+        """Add the time that a request waited without finding room."""
         self._add(RoomCounts(waited_s=seconds), now)
 
     def note_granted(self, now: float) -> None:
-        """A request that had waited got room."""
+        """Count a grant to a request that had waited."""
         self._add(RoomCounts(grants=1.0), now)
 
     def counts(self, now: float) -> RoomCounts:
-        """What counts at present."""
+        """Return the counts, decayed to the present."""
         share = 0.5 ** (max(0.0, now - self._updated_at) / HALF_LIFE_S)
         return RoomCounts(
             waited_s=share * self._counts.waited_s, grants=share * self._counts.grants
@@ -93,10 +94,10 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class RoomWait:
-    """One request that finds no room: seconds since it came, to its deadline, and to read it.
+    """A request that finds no room: its age, its remaining time, and the time to read its prompt.
 
-    ``since_first_try_s`` is the time since its caller's first try, 0 if it is to be judged as a
-    first one.
+    ``since_first_try_s`` is the time since its caller's first try, or 0 if the request is to be
+    treated as a first try.
     """
 
     elapsed_s: float
@@ -105,7 +106,7 @@
     since_first_try_s: float = 0.0
 
     def is_worthwhile(self, route: Route, *, mean_wait_s: float) -> bool:
-        """Whether to go on waiting, given the mean time until room comes."""
+        """Return whether the request should go on waiting, given the mean wait for room."""
         if mean_wait_s + self.reading_s > self.time_left_s:
             return False
         if self.since_first_try_s + self.elapsed_s + mean_wait_s + self.reading_s <= route.target_s:
@@ -115,7 +116,7 @@
 
 
 def caller_timeout_s(route: Route) -> float:
-    """Seconds for which callers of a route wait for the first event of a stream."""
+    """Return how long callers of a route wait for the first event of a stream."""
     return max(
         MIN_CALLER_TIMEOUT_S,
         CALLER_TIMEOUT_TARGETS * route.target_s,
--- a/src/croftchute/systems/room_order.py
+++ b/src/croftchute/systems/room_order.py
@@ -1,7 +1,9 @@
-"""Who gets decode memory that comes free: an order by rank among all who wait, over all boxes.
+"""Order by rank among all requests that wait for decode memory, across all boxes.
 
-Nobody owns the queue. Each box asks engines for its own requests, the urgent ones more often, and
-tells others what requests of each rank wait. From that it knows which ranks wait in vain.
+There is no shared queue. Each box polls the engines for room, that is, free decode memory, on
+behalf of its own requests, more often for urgent ranks. Boxes report to each other how many
+requests of each rank wait, and how long. From these reports a box knows which ranks are short of
+room.
 """
 
 from __future__ import annotations
@@ -17,53 +19,56 @@
 from croftchute.tables.peers import RankRoomNotice
 
 BASE_POLL_INTERVAL_S = 0.03
-"""Seconds between two asks for room of the most urgent rank: about as often as streams end."""
+"""Poll interval of the most urgent rank: streams end about as often."""
 
 POLL_INTERVAL_RATIO = 3.0
-"""How many times as long the next rank of requests pauses, two ranks for room: room that comes free
-mostly goes to the first."""
+"""Ratio of the poll intervals of two successive request ranks, which are two room ranks apart. Most
+of the room that comes free goes to the more urgent one."""
 
 MAX_POLL_INTERVAL_TARGET_SHARE = 0.1
-"""Share of the target for which a request pauses at the most: it asks some times before it is
-late, however many ranks there are that nobody waits with."""
+"""Largest poll interval as a share of the target. A request polls several times before it is late,
+even if many ranks before its own are empty."""
 
 MAX_POLL_INTERVAL_S = 0.5
-"""Longest pause of any rank: a fraction of any caller's patience."""
+"""Largest poll interval of any rank: a fraction of the time that callers wait."""
 
 MIN_POLL_INTERVAL_S = 0.01
-"""Shortest pause: a request that is about to be late does not ask again and again at once."""
+"""Smallest poll interval: a request that is about to be late does not poll in a busy loop."""
 
 FINAL_POLL_LEAD_S = 0.15
-"""Seconds before a request would be late at which it asks once although it holds back, so that no
-rank is shut out for as long as a more urgent one is short of room."""
+"""Seconds before it would be late at which a request that holds back polls once. No rank is locked
+out for as long as a more urgent one is short of room."""
 
 ENTRY_WAIT_THRESHOLD_S = 0.2
-"""Mean wait of a more urgent rank from which on others hold back: a fourth of the shortest targets
-in use, so that reading the prompt still fits the rest."""
+"""Mean wait of a rank above which less urgent requests hold back. It is a quarter of the shortest
+targets in use, so that reading the prompt still fits into the rest."""
 
 MIN_TOTAL_WAIT_S = 0.2
-"""Seconds that requests of a rank must have waited lately, in all, for that mean to count: a first
-ask that found no room shows no shortage. In a large fleet a box hears of few that wait."""
+"""Least recent wait of a rank, summed over its requests, for its mean wait to count. A first poll
+that found no room is no sign of a shortage. In a large fleet a box hears of few waiting requests.
+"""
 
 
 MAX_ROOM_RANKS = 4 * MAX_RANKS
-"""Ranks for room: two for each rank, by the share of the organisation, and again for late ones."""
+"""Number of room ranks: two per request rank, for organisations within and over their share, and
+the same again for late requests."""
 
 MAX_REPORTED_VALUE = 100_000.0
-"""Seconds waited, grants and waiting requests beyond which what a peer tells is ignored: a thousand
+"""Largest waited seconds, grants or waiting requests that a box accepts from a peer. A thousand
 requests that wait at one box add up to 3,000 s."""
 
 MIN_REPORTED_COUNT = 0.01
-"""Seconds waited and grants under which a rank is told no longer: a configuration may have no such
-rank any more."""
+"""Waited seconds and grants below which a rank is dropped from reports. A new configuration may not
+have the rank any more."""
 
 
 class OrderMode(StrEnum):
     """How requests that wait for room are ordered.
 
-    ``paced``: the more urgent ask more often. ``entry``: beside that, others hold back while a
-    more urgent rank waits too long anywhere. ``auto`` is ``entry`` where the configuration gives
-    streams of a service different priorities.
+    ``paced``: more urgent ranks poll more often. ``entry``: in addition, less urgent requests hold
+    back while a more urgent rank waits too long at any box. ``unordered``: ranks are not used.
+    ``auto``: ``entry`` if the configuration gives the streams of a service different priorities,
+    else ``unordered``.
     """
 
     AUTO = "auto"
@@ -74,33 +79,33 @@
 
 @dataclass(kw_only=True)
 class RoomWaitsByRank:
-    """What the requests of one box waited for room at the engines of a service, by rank."""
+    """Waits for room at the engines of one service, by room rank, as seen by one box."""
 
     _history_by_rank: dict[int, RoomHistory] = field(default_factory=dict)
     _waiting_by_rank: Counter[int] = field(default_factory=Counter)
 
     def begin_wait(self, rank: int) -> None:
-        """A request begins to wait."""
+        """Count a request that starts to wait."""
         self._waiting_by_rank[rank] += 1
 
     def end_wait(self, rank: int) -> None:
-        """A request waits no longer: it got room, was refused, or its caller left."""
+        """Stop counting a request that got room, was refused, or lost its caller."""
         self._waiting_by_rank[rank] -= 1
 
     def note_waited(self, rank: int, seconds: float, now: float) -> None:
-        """A request waited, and has no room yet."""
+        """Add the time that a request waited without finding room."""
         self._history(rank).note_waited(seconds, now)
 
     def note_granted(self, rank: int, now: float) -> None:
-        """A request that had waited got room."""
+        """Count a grant to a request that had waited."""
         self._history(rank).note_granted(now)
 
     def waiting_by_rank(self) -> dict[int, int]:
-        """Requests that wait at the moment, by rank."""
+        """Return the number of requests that wait now, by rank."""
         return {rank: count for rank, count in self._waiting_by_rank.items() if count > 0}
 
     def notices(self, now: float) -> tuple[RankRoomNotice, ...]:
-        """What peers are told, the most urgent rank first; ranks that went quiet are forgotten."""
+        """Return the reports to peers, most urgent rank first, and drop inactive ranks."""
         for rank, counts in self._counts_by_rank(now).items():
             is_quiet = max(counts.waited_s, counts.grants) < MIN_REPORTED_COUNT
             if is_quiet and self._waiting_by_rank[rank] <= 0:
@@ -124,9 +129,9 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class RoomView:
-    """What one box knows of all who wait for room at the engines of a service.
+    """What one box knows of all requests that wait for room at the engines of a service.
 
-    ``reported_at_by_rank`` is when the newest news came that requests of a rank wait.
+    ``reported_at_by_rank`` is the time of the latest report of waiting requests of a rank.
     """
 
     counts_by_rank: dict[int, RoomCounts]
@@ -141,9 +146,9 @@
         *,
         now: float = 0.0,
     ) -> RoomView:
-        """The view from what this box saw and what its peers told, each with when it was heard.
+        """Return the view from this box's own counts and the reports of its peers.
 
-        Figures that can't be are left out.
+        Each report of a peer comes with the time when it was received. Invalid values are ignored.
         """
         sums_by_rank: dict[int, list[float]] = {}
         waiting_by_rank: dict[int, int] = {}
@@ -177,7 +182,7 @@
         )
 
     def mean_wait_s(self, rank: int) -> float:
-        """How long a request of a rank waits for room on average, never less than urgent ones do.
+        """Return the mean wait of a rank for room, at least that of every more urgent rank.
 
         >>> view = RoomView(
         ...     counts_by_rank={0: RoomCounts(waited_s=1.7, grants=1.0), 1: RoomCounts(grants=9.0)},
@@ -191,8 +196,9 @@
         return max([own.mean_wait_s, *(c.mean_wait_s for c in urgent if c.waited_s > 0.0)])
 
     def entry_rank(self) -> int | None:
-        """The most urgent rank that waits, and too long: requests behind it hold back. None if all
-        wait but shortly.
+        """Return the most urgent rank that waits too long, or None if no rank does.
+
+        Requests of less urgent ranks hold back.
 
         >>> RoomView(counts_by_rank={2: RoomCounts(waited_s=4.0, grants=3.0)},
         ...          waiting_by_rank={2: 1}).entry_rank()
@@ -208,7 +214,7 @@
         return min(starved_ranks, default=None)
 
     def entry_age_s(self, now: float) -> float | None:
-        """Age in seconds of the newest news that the entry rank waits; None if there is none.
+        """Return the age in seconds of the latest report that the entry rank waits, or None.
 
         >>> notice = RankRoomNotice(rank=2, waited_s=4.0, grants=3.0, waiting=1)
         >>> RoomView.of([], [(notice, 7.5), (notice, 7.0)]).entry_age_s(8.0)
@@ -220,7 +226,7 @@
         return max(0.0, now - self.reported_at_by_rank[entry])
 
     def holds_back(self, rank: int, mode: OrderMode) -> bool:
-        """Whether a request of a rank leaves room that comes free to more urgent ones."""
+        """Return whether a request of a rank leaves free room to more urgent requests."""
         if mode is not OrderMode.ENTRY:
             return False
         entry = self.entry_rank()
@@ -228,7 +234,7 @@
 
 
 def poll_interval_s(rank: int, *, target_s: float = math.inf) -> float:
-    """Seconds until a request of a rank for room, with some target, asks again.
+    """Return the seconds until a request of a room rank polls for room again.
 
     >>> [round(poll_interval_s(rank), 2) for rank in range(0, 8, 2)]
     [0.03, 0.09, 0.27, 0.5]
@@ -243,14 +249,15 @@
 
 
 def room_rank(rank: int, *, ranks: int, is_late: bool, is_over_share: bool = False) -> int:
-    """The rank for room: two for each rank of a request, the second for those over their share.
+    """Return the room rank of a request: two per request rank, the second if over its share.
 
-    Late requests go behind all others, as a late answer is worth a fraction. An excess goes behind
-    no more than its own rank: while room is short most large organisations are over an equal share,
-    and the urgent requests of most callers would else go last.
+    Late requests go behind all others, as a late answer is worth only a fraction of one in time. A
+    request of an organisation over its share goes behind its own rank only. While room is short,
+    most large organisations are over an equal share, and the urgent requests of most callers would
+    otherwise go last.
 
-    It is held to ``MAX_ROOM_RANKS``: a request that comes while the configuration ends the order
-    has its priority as rank, which may be any number.
+    The result is below ``MAX_ROOM_RANKS``. A request that arrives while a new configuration ends
+    the order has its priority as rank, which may be any number.
 
     >>> room_rank(0, ranks=3, is_late=True) > room_rank(2, ranks=3, is_late=False)
     True
--- a/src/croftchute/systems/size_lanes.py
+++ b/src/croftchute/systems/size_lanes.py
@@ -1,9 +1,10 @@
-"""Which decode workers large requests have for themselves, so that they find room at all.
+"""Decode workers reserved for large requests (a lane), so that these find room at all.
 
-Room at a full engine comes free in the size of one ended stream. Smaller requests fit into that at
-once, a large one needs several ends at one engine together, which others take first: without a
-lane, requests over half of an engine's memory were served in 4 of 100 tries where small ones were
-in 90. All boxes rank the workers alike, so the lane is the same at all of them.
+Memory at a full engine comes free one ended stream at a time. A small request fits into that at
+once. A large one needs several streams at the same engine to end together, and small requests take
+the memory before that. Without a lane, requests over half of an engine's memory were served in 4 of
+100 tries, small ones in 90 of 100. All boxes rank the workers by the same hash, so they agree on
+the lane.
 """
 
 from __future__ import annotations
@@ -16,36 +17,36 @@
 from croftchute.systems.worker_belief import WorkerBelief
 
 MIN_LARGE_REQUEST_SHARE = 0.5
-"""Share of an engine's memory over which a request is large: two of them don't fit one engine."""
+"""Share of an engine's memory above which a request is large: two of them do not fit one engine."""
 
 MAX_LANE_SHARE = 0.4
-"""Share of the decode workers that the lane has at most."""
+"""Largest share of the decode workers that the lane may have."""
 
 FAIR_GRANT_RATIO = 0.75
-"""How often large requests get room beside all others, from which on they need no lane."""
+"""Ratio of the grant rate of large requests to that of all from which on they need no lane."""
 
 LANE_GAIN = 3.0
-"""How much of its full size the lane gets for what lacks of the fair ratio: all of it where large
-requests get room less than 0.42 times as often as others. In bursts that keeps them at 0.55."""
+"""Fraction of the full lane per unit by which the grant ratio falls short of the fair one. The lane
+has its full size where the ratio is below 0.42. In bursts this keeps the ratio at 0.55."""
 
 MIN_REQUESTS = 10
-"""Fewest asks, large and others, to judge by."""
+"""Fewest requests, large and others, to judge by."""
 
 MIN_LARGE_REQUESTS = 3
-"""Fewest large ones among these."""
+"""Fewest large requests to judge by."""
 
 LANE_HASH_KEY = "large requests"
 
 
 class RoomMode(StrEnum):
-    """How decode memory is shared between requests of different sizes."""
+    """Whether decode memory is shared by request size: with a lane for large requests, or not."""
 
     LANES = "lanes"
     BLIND = "blind"
 
 
 def is_large(tokens: int, kv_tokens: int) -> bool:
-    """Whether a request that holds so many tokens has to have most of an engine.
+    """Return whether a request of so many tokens needs most of an engine.
 
     >>> is_large(14_000, 26_000), is_large(9_000, 26_000)
     (True, False)
@@ -54,10 +55,10 @@
 
 
 def lane_share(counts: DemandCounts, kv_tokens: int) -> float:
-    """The share of the decode workers that large requests should have, by what was seen lately.
+    """Return the share of the decode workers to reserve for large requests.
 
-    None while large requests get room about as often as others; the less they do, the nearer to
-    the share of the engines that their memory would take.
+    It is 0 while large requests get room about as often as others. The less often they do, the
+    closer it comes to the share of the engines that their memory would take.
 
     >>> lane_share(DemandCounts(asks=100, prompt_tokens=980_000, large_asks=20,
     ...                         large_tokens=360_000, granted=75, large_granted=3), 26_000)
@@ -82,10 +83,10 @@
     share: float,
     rejected_ids: Collection[str],
 ) -> list[WorkerBelief]:
-    """The workers that a request may be put to: the lane's for large ones, the rest for others.
+    """Return the workers that may serve a request: the lane for large ones, the rest for others.
 
-    A large request may also have the rest once the lane was asked in vain. A service too small for
-    a lane of its own is left whole.
+    A large request may also use the rest once every worker of the lane has rejected it. A service
+    too small for a lane is not divided.
     """
     size = int(share * len(candidates) + 0.5)
     if not 0 < size < len(candidates):
--- a/src/croftchute/systems/timeouts.py
+++ b/src/croftchute/systems/timeouts.py
@@ -1,4 +1,4 @@
-"""How long to wait for what: times after which another worker is worth its price."""
+"""Timeouts, poll intervals, Retry-After values and hold sizes of requests to workers."""
 
 from __future__ import annotations
 
@@ -8,147 +8,160 @@
 
 
 class ReturnMode(StrEnum):
-    """Who goes first where room is short: callers who came back, or those still in time."""
+    """Which requests poll for decode memory most often while it is short.
+
+    ``returned_first`` prefers callers that came back after a refusal, ``in_time_first`` prefers
+    requests that can still meet their target.
+    """
 
     RETURNED_FIRST = "returned_first"
     IN_TIME_FIRST = "in_time_first"
 
 
 class HoldMode(StrEnum):
-    """How much memory is asked for ahead of a stream: what is likely, or with some to spare."""
+    """How much decode memory is reserved for a stream: its likely size, or more."""
 
     LIKELY = "likely"
     AMPLE = "ample"
 
 
 REPEAT_SHARE_OF_TARGET = 0.6
-"""Share of the target after which a repeatable call goes to another worker: two usual tries
+"""Share of the target after which a repeatable call is sent to another worker: two usual attempts
 then fit into the target."""
 
 FIRST_EVENT_SHARE_OF_TARGET = 0.6
-"""Share of the target that a decode worker's first event is given where it could be moved:
-what is left is enough for another one to read the prompt."""
+"""Share of the target that a decode worker has for its first event if the stream can be moved: the
+rest suffices for another worker to read the prompt."""
 
 TYPICAL_ANSWER_MULTIPLE = 3.0
-"""Usual times of a worker that a repeatable call is given, where that is longer."""
+"""Multiple of a worker's usual answer time that a repeatable call may take, where that is longer.
+"""
 
 DECODE_READING_MULTIPLE = 4.0
-"""Predicted times of its own reading that a decode worker is given: others may be read first."""
+"""Multiple of the predicted reading time that a decode worker may take for a prompt it reads
+itself: it may read other prompts first."""
 
 PREFILL_SHARE_OF_TARGET = 0.7
-"""Share of the target that a prefill call is given: its decode worker can just still read the
-prompt in time."""
+"""Share of the target that a prefill call may take: in the rest the decode worker can just read the
+prompt itself."""
 
 PREFILL_RETRY_SHARE_OF_TARGET = 0.5
-"""Share of the target within which a second prefill worker is asked; reading fits the rest."""
+"""Share of the target within which a second prefill worker may be asked: reading the prompt fits
+into the rest."""
 
 TARGET_GAP_MULTIPLE = 3.0
-"""Longest good pauses after which a stream is taken as stuck: callers bear eight."""
+"""Multiple of the route's target gap after which a stream counts as stuck. Callers give up after
+eight."""
 
 MIN_GAP_TIMEOUT_S = 0.6
-"""Seconds of pause that are always borne: a preempted stream mostly goes on within them."""
+"""Least gap that a stream may have: most preempted streams go on within it."""
 
 PREFILL_FULL_TOKENS = 12_000
 """Prompt tokens in flight at which a prefill worker costs as much as a full one: three prompts."""
 
 USUAL_GAP_MULTIPLE = 10.0
-"""Usual pauses of a worker after which a stream there is taken as stuck: an engine that turns eight
-times slower at once still goes on within them."""
+"""Multiple of a worker's usual gap after which a stream there counts as stuck. A stream still goes
+on within it if the engine suddenly runs eight times slower."""
 
 MIN_CALLER_GAP_S = 2.0
-"""Seconds of pause that callers bear at least."""
+"""Least gap between events that callers tolerate."""
 
 CALLER_GAP_TARGETS = 4.0
-"""Targets that callers bear as a pause, where that is longer."""
+"""Multiple of the target that callers tolerate as a gap, where that is longer."""
 
 CALLER_GAP_MULTIPLE = 8.0
-"""Longest good pauses that callers bear, where that is longer."""
+"""Multiple of the target gap that callers tolerate, where that is longer."""
 
 MAX_CALLER_GAP_SHARE = 0.75
-"""Share of the pause that callers bear after which a stream is moved, however slow its worker: what
-is left is for room elsewhere and the next event."""
+"""Share of the gap that callers tolerate after which a stream is moved, however slow its worker is.
+The rest is for a hold elsewhere and the next event."""
 
 CONNECT_TIMEOUT_S = 0.25
-"""Seconds for a connection: many round trips, and little of any target."""
+"""Timeout of a connection attempt: many round trips, and a small part of any target."""
 
 MAX_ONCE_IDLE_S = 0.25
-"""Seconds since its last answer in which a kept connection may take a request that can be sent
-once: an older one may have gone silent meanwhile. The stream after an ask for room still takes its
-connection; others pay a round trip for a new one."""
+"""Longest idle time of a pooled connection that may carry a request that must not be repeated: an
+older one may be dead without notice. The stream that follows a hold request still reuses its
+connection; other requests pay a round trip for a new one."""
 
 FIRST_TRY_MIN_TIME_SHARE = 0.9
-"""Share of the route's time below which a caller must have tried before."""
+"""Share of the route's timeout that a caller has left on its first try; one with less came back
+after a refusal."""
 
 MIN_RETRY_AFTER_S = 0.1
-"""Seconds after which a caller is asked back at the soonest."""
+"""Shortest Retry-After in seconds."""
 
 DEFAULT_RETRY_AFTER_S = 1.0
-"""Seconds after which a caller is asked back where no engine was full: a worker that crashed, or a
-list that is short for a moment, mostly takes a second or two."""
+"""Retry-After in seconds if no engine was full: a crashed worker or an incomplete worker list
+mostly recovers within a second or two."""
 
 RETRY_AFTER_MEAN_WAITS = 4.0
-"""Mean times until room comes after which a caller is asked back: of requests that wait so long all
-but one in fifty have found room (exponential), so that the next try need not fail."""
+"""Mean waits for room until a caller should come back. With exponential waits, all but one in fifty
+requests find room within that time, so the next try is likely to succeed."""
 
 MAX_RETRY_AFTER_SHARE = 0.32
-"""Share of the caller's time left after which it is asked back at the latest: callers keep to at
-most a third of it."""
+"""Largest share of the caller's remaining time for Retry-After: callers wait for at most a third of
+it."""
 
 RETRY_AFTER_JITTER = 0.1
-"""Share of that time over which callers are jitter, so that they do not return together."""
+"""Share of Retry-After over which callers are spread, so that they do not return together."""
 
 RESUME_WAIT_S = 2.0
-"""Seconds that a stream which has begun waits for room: callers bear pauses of 2 s and more."""
+"""Seconds that an interrupted stream waits for room elsewhere: callers tolerate gaps of 2 s and
+more."""
 
 FIRST_TRY_POLL_INTERVAL_S = 0.1
-"""Seconds between two asks for room of a first try: streams end as often at a full worker."""
+"""Seconds between two polls for room by a first try: streams at a full worker end about as often.
+"""
 
 RETURN_POLL_INTERVAL_S = 0.04
-"""The same of a caller who came back, or a stream that was cut: they go first."""
+"""Poll interval of a caller that came back and of an interrupted stream, which go first."""
 
 IN_TIME_POLL_INTERVAL_S = 0.05
-"""The same of a request that can still be served in time, where these go first."""
+"""Poll interval of a request that can still meet its target, in the mode that prefers these."""
 
 LATE_POLL_INTERVAL_S = 0.2
-"""The same of one that is late already: it takes room that nobody in time asked for."""
+"""Poll interval of a late request in that mode: it gets room that no request in time asked for."""
 
 HOLD_OUTPUT_FACTORS = {HoldMode.LIKELY: 0.9, HoldMode.AMPLE: 1.4}
-"""Share of the likely output that a hold covers. Half of all answers are
-longer than their hint; what outgrows its hold may be preempted, and its prompt is read again."""
+"""Factor on the expected output that a hold covers. Half of all answers are longer than their hint;
+a stream that outgrows its hold may be preempted, and its prompt is then read again."""
 
 NEVER_FITS_RETRY_AFTER_S = 60.0
-"""Seconds after which a caller may ask again whose prompt no engine can hold: only the operator's
-next configuration can change that, and none comes within the time that callers wait."""
+"""Retry-After in seconds for a prompt that fits no engine: only the operator's next configuration
+can change that, and none comes within the time that callers wait."""
 
 FULL_WORKER_BACKOFF_S = 0.03
 """Seconds for which a worker that had no room is not asked again."""
 
 ORDER_TIMEOUT_S = 1.0
-"""Seconds for a worker's answer to an order."""
+"""Timeout of an order to a worker."""
 
 HOLD_TIMEOUT_S = 0.08
-"""Seconds for a worker's answer to an ask for room: some round trips; it needs no slot there."""
+"""Timeout of a hold request: some round trips, as the worker needs no free slot to answer it."""
 
 
 PREFIX_LIST_TIMEOUT_S = 0.1
-"""Seconds for a worker's list of kept prompt parts: less than reading a prompt again takes."""
+"""Timeout of a query for a worker's cached prompt parts: less than it takes to read a prompt again.
+"""
 
 
 def answer_timeout_s(route: Route, *, typical_s: float, time_left_s: float) -> float:
-    """How long a worker may take before a repeatable request is put to another one."""
+    """Return how long a worker may take before a repeatable request goes to another one."""
     wanted = max(REPEAT_SHARE_OF_TARGET * route.target_s, TYPICAL_ANSWER_MULTIPLE * typical_s)
     return min(wanted, time_left_s)
 
 
 def first_event_timeout_s(route: Route, *, time_left_s: float) -> float:
-    """How long a decode worker may take to its first event, if the stream may be resumed."""
+    """Return how long the first event of a stream that can be moved may take."""
     return min(FIRST_EVENT_SHARE_OF_TARGET * route.target_s, time_left_s)
 
 
 def decode_reading_timeout_s(route: Route, *, predicted_s: float, time_left_s: float) -> float:
-    """How long a decode worker may take to read a prompt itself.
+    """Return how long a decode worker may take to read a prompt itself.
 
-    It has just granted room, so it lives; giving it up would have the prompt read a second time.
+    The worker has just granted a hold, so it is alive. Giving it up would have the prompt read a
+    second time.
     """
     wanted = max(
         FIRST_EVENT_SHARE_OF_TARGET * route.target_s, DECODE_READING_MULTIPLE * predicted_s
@@ -157,22 +170,23 @@
 
 
 def prefill_timeout_s(route: Route, *, time_left_s: float) -> float:
-    """How long a prefill call may take before the decode worker reads the prompt itself.
+    """Return how long a prefill call may take before the decode worker reads the prompt itself.
 
-    That slows all other streams of the decode worker, so nearly all of the target is given.
+    Reading at the decode worker slows down all its other streams, so the prefill call gets most of
+    the target.
     """
     return min(PREFILL_SHARE_OF_TARGET * route.target_s, time_left_s)
 
 
 def prefill_retry_limit_s(route: Route) -> float:
-    """How long after its arrival a request may still be read at a second prefill worker."""
+    """Return the age of a request up to which it may be read at a second prefill worker."""
     return PREFILL_RETRY_SHARE_OF_TARGET * route.target_s
 
 
 def gap_timeout_s(route: Route, *, time_left_s: float, usual_gap_s: float = 0.0) -> float:
-    """How long a stream that may be resumed may pause before it is moved.
+    """Return how long a stream that can be resumed may send nothing before it is moved.
 
-    ``usual_gap_s`` is the usual pause at its worker, 0 if it is not known.
+    ``usual_gap_s`` is the usual gap between events at its worker, 0 if it is not known.
     """
     caller_gap_s = max(
         MIN_CALLER_GAP_S,
@@ -187,15 +201,16 @@
 
 
 PREDICTED_RETRY_AFTER_JITTER = 0.5
-"""Share of a predicted wait over which returns are jitter: those that were refused together would
-otherwise come back together."""
+"""Share of a predicted wait over which returns are spread: callers that were refused together would
+otherwise return together."""
 
 
 def retry_after(time_left_s: float, *, mean_wait_s: float | None, jitter: float) -> float:
-    """When a refused caller should come back: once it will likely be served, if it can wait.
+    """Return the Retry-After in seconds by which a refused caller is likely to be served.
 
-    ``mean_wait_s`` is the mean time until room comes; None if it was not room that lacked.
-    ``jitter`` lies between 0 and 1.
+    ``mean_wait_s`` is the mean wait for room, or None if the request was refused for another
+    reason. ``jitter`` is a random number between 0 and 1. The result leaves the caller time for the
+    next try.
 
     >>> retry_after(14.0, mean_wait_s=0.5, jitter=0.0)
     2.0
@@ -210,7 +225,7 @@
 
 
 def predicted_retry_after(wait_s: float, *, jitter: float) -> float:
-    """When a caller should come back for whom there will be room in ``wait_s``: not all at once.
+    """Return the Retry-After for a caller that will find room in ``wait_s``, with jitter.
 
     >>> predicted_retry_after(0.5, jitter=0.0), predicted_retry_after(0.5, jitter=1.0)
     (0.5, 0.75)
@@ -221,10 +236,11 @@
 def room_poll_interval_s(
     route: Route, mode: ReturnMode, *, since_first_try_s: float, is_begun: bool
 ) -> float:
-    """How often to ask for room; ``since_first_try_s`` is the time since the caller's first try.
+    """Return the seconds between two polls for room.
 
-    Streams that were cut ask most often. Of the others, either those who came back ask more often
-    than first tries, since they cannot come again, or those who can still be served in time do.
+    ``since_first_try_s`` is the time since the caller's first try. Streams that were interrupted
+    poll most often. Of the others, ``mode`` decides which poll more often: callers that came back,
+    since they cannot come again, or requests that can still meet their target.
     """
     if is_begun:
         return RETURN_POLL_INTERVAL_S
@@ -235,7 +251,7 @@
 
 
 def can_ever_fit(prompt_tokens: int, kv_tokens: int) -> bool:
-    """Whether an empty engine has the memory for a prompt and one token of its answer.
+    """Return whether an empty engine has the memory for a prompt and one token of its answer.
 
     >>> can_ever_fit(45_000, 45_991), can_ever_fit(47_020, 45_991)
     (True, False)
@@ -250,10 +266,10 @@
     kv_tokens: int,
     mode: HoldMode = HoldMode.LIKELY,
 ) -> int:
-    """How much decode memory to reserve: the prompt, and what the answer will likely add.
+    """Return how many tokens of decode memory to reserve for a prompt and its likely output.
 
-    No engine grants more than it has, ``kv_tokens``; what fits by less than its answer is reserved
-    a whole engine.
+    No engine grants more than it has, ``kv_tokens``: a prompt that fits without its whole output
+    reserves an entire engine.
 
     >>> hold_tokens(5000, 800, 200, 45_991)
     5180
