--- a/tests/systems/room_harness.py
+++ b/tests/systems/room_harness.py
@@ -1,6 +1,6 @@
-"""One request that waits for decode memory at a box, in virtual time and without a network.
+"""Harness for one request that waits for decode memory at a box, in virtual time.
 
-The workers' answers are a script: what each ask for room finds. Everything else is the box's own.
+There is no network: a script gives the result of each poll for room. The rest is the router's code.
 """
 
 import asyncio
@@ -31,7 +31,7 @@
 
 
 class FakeConnection:
-    """The caller's side: keeps what was answered."""
+    """Caller's side of a connection; records the bytes sent."""
 
     is_lost = False
     is_held_up = False
@@ -61,7 +61,7 @@
 
 
 class RecordingLog:
-    """Keeps the lines."""
+    """Decision log that records its lines."""
 
     def __init__(self):
         self.lines = []
@@ -106,7 +106,7 @@
 
 
 class RoomHarness:
-    """A box whose clock moves only while a request waits."""
+    """A box whose clock advances only while a request waits."""
 
     def __init__(
         self, monkeypatch, *, priorities=(0, 1, 2), order=OrderMode.AUTO, organisations=()
@@ -177,20 +177,20 @@
         return run
 
     def reserve(self, run, script, *, room=None):
-        """Wait for room; the last entry of the script goes on for ever."""
+        """Wait for room; the last result of the script repeats."""
         room = room or ScriptedRoom(run=run)
         room.script = list(script)
         found = asyncio.run(room.reserve())
         return room, found
 
     def refuse(self, run, room):
-        """Refuse as a stream does that found no room; returns the answer's bytes."""
+        """Refuse the request like a stream that found no room, and return the bytes sent."""
         run.refuse(room.code or Code.NO_UPSTREAM, Ran.NOT_RUN, room.detail)
         return run.connection.sent
 
 
 class ScriptedRoom(DecodeRoom):
-    """Asks no worker: a script says what each ask finds."""
+    """DecodeRoom that polls no worker: a script gives the result of each poll."""
 
     asks = 0
     has_worker = True
--- a/tests/systems/room_simulation.py
+++ b/tests/systems/room_simulation.py
@@ -1,7 +1,7 @@
-"""Callers that compete for decode memory through many boxes, in virtual time and without a network.
+"""Simulation of callers that compete for decode memory through many boxes, in virtual time.
 
-Boxes tell each other what waits, as late and as partially as notices do; engines grant room to
-whoever asks first.
+There is no network. Boxes report their waiting requests to each other as late and to as few peers
+as real notices do. Engines grant room to whoever polls first.
 """
 
 import heapq
@@ -30,7 +30,7 @@
 
 @dataclass
 class RoomSimulation:
-    """``places`` requests fit the engines together; each runs for ``run_s`` on average."""
+    """A fleet whose engines hold ``capacity`` requests, each for ``run_s`` seconds on average."""
 
     boxes: int
     capacity: int
@@ -52,7 +52,7 @@
         heapq.heappush(self.events, (when, self.rng.random(), handler, args))
 
     def run(self, rates_by_rank, *, until, max_wait_s_by_rank):
-        """Requests of each rank at a rate a second; returns the waits of those that got room."""
+        """Run requests at a rate per second and rank; return the waits of those that got room."""
         self.max_wait_s_by_rank = max_wait_s_by_rank
         for number in range(self.boxes):
             self.schedule(self.rng.uniform(0, NOTICE_INTERVAL_S), self._send_notices, number)
--- a/tests/systems/test_fair_shares.py
+++ b/tests/systems/test_fair_shares.py
@@ -1,4 +1,4 @@
-"""Fair shares of scarce room: a flood by one organisation is its own trouble."""
+"""Fair shares of scarce room: a flood by one organisation does not displace the others."""
 
 import math
 
@@ -30,14 +30,14 @@
 
 
 @given(demands, st.dictionaries(names, amounts), amounts)
-def test_shares_add_up_and_nobody_gets_more_than_it_asked(demand, weights, capacity):
+def test_shares_sum_to_the_capacity_and_stay_within_the_demand(demand, weights, capacity):
     shares = fair_shares(demand, weights, capacity)
     assert sum(shares.values()) == approx(min(capacity, sum(demand.values())))
     assert all(shares[name] <= demand[name] * (1 + 1e-9) for name in demand)
 
 
 @given(demands, amounts)
-def test_who_asks_for_less_than_its_part_gets_all_of_it(demand, capacity):
+def test_a_demand_below_an_equal_part_is_met_in_full(demand, capacity):
     shares = fair_shares(demand, {}, capacity)
     for name, asked in demand.items():
         if asked <= capacity / len(demand):
@@ -45,7 +45,7 @@
 
 
 @given(demands, amounts, st.floats(1.0, 50.0))
-def test_a_larger_flood_takes_nothing_more_from_others_below_their_part(demand, capacity, times):
+def test_a_larger_flood_takes_no_more_from_those_below_an_equal_part(demand, capacity, times):
     flooded = dict(demand)
     first = min(demand)
     flooded[first] *= times
@@ -54,8 +54,8 @@
     assert all(after[name] >= min(before[name], part) * (1 - 1e-9) for name in demand)
 
 
-def test_three_floods_at_six_times_their_usual_are_over_and_the_quiet_are_not():
-    """The fault: whoever asks most gets most, so quiet organisations paid for the floods."""
+def test_three_floods_at_six_times_their_usual_rate_are_over_and_the_others_are_not():
+    """Without shares, whoever asks most gets most, and other organisations pay for the floods."""
     known = uses(
         **{f"flood{n}": (60_000, 30_000) for n in range(3)},
         **{f"quiet{n}": (10_000, 5_000) for n in range(13)},
@@ -64,36 +64,36 @@
     assert not any(share_verdict(f"quiet{n}", known, {}).is_over for n in range(13))
 
 
-def test_a_large_limit_is_a_large_share():
+def test_a_large_limit_gives_a_large_share():
     known = uses(large=(50_000, 40_000), small=(50_000, 10_000))
     assert share_verdict("large", known, {}).is_over
     assert not share_verdict("large", known, {"large": 80.0, "small": 20.0}).is_over
 
 
-def test_the_first_request_of_a_quiet_organisation_is_within_its_share():
+def test_the_first_request_of_an_organisation_is_within_its_share():
     known = uses(flood=(90_000, 40_000), quiet=(3_000, 0))
     assert not share_verdict("quiet", known, {}).is_over
     assert not share_verdict("never seen", known, {}).is_over
 
 
-def test_nobody_is_over_while_room_is_not_short():
+def test_no_organisation_is_over_its_share_while_room_is_not_short():
     known = uses(flood=(90_000, 89_000), quiet=(1_000, 1_000))
     assert not share_verdict("flood", known, {}).is_over
 
 
-def test_what_several_boxes_tell_is_summed():
+def test_reports_of_several_boxes_are_summed():
     apart = uses(a=(10_000, 9_000)) + uses(a=(10_000, 9_000)) + uses(b=(20_000, 2_000))
     assert share_verdict("a", apart, {}).used == approx(0.9)
 
 
-def test_old_use_fades_and_is_forgotten():
+def test_old_use_decays_and_is_dropped():
     use = OrganisationUse()
     use.note_asked("a", 1_000, 0.0)
     assert use.notices(HALF_LIFE_S)[0].asked_tokens == approx(500)
     assert use.notices(100 * HALF_LIFE_S) == ()
 
 
-def test_a_notice_tells_of_the_largest_of_many():
+def test_a_notice_holds_the_largest_organisations():
     use = OrganisationUse()
     for number in range(1_000):
         use.note_asked(f"o{number}", 10 + number, 0.0)
@@ -105,16 +105,17 @@
 
 
 @given(demands, st.dictionaries(names, st.floats(1e-12, 1e15)), amounts)
-def test_weights_of_any_size_divide_the_room(demand, weights, capacity):
-    """The fault: the weight that was left was found by subtracting, and came to 0 beside a weight
-    that is 16 digits larger: ZeroDivisionError in the request."""
+def test_weights_of_any_size_divide_the_capacity(demand, weights, capacity):
+    """The remaining weight used to be found by subtraction. Next to a weight 16 digits larger it
+    became 0, and the request failed with ZeroDivisionError.
+    """
     shares = fair_shares(demand, weights, capacity)
     assert sum(shares.values()) == approx(min(capacity, sum(demand.values())))
     assert all(share >= 0.0 for share in shares.values())
 
 
-def test_a_weight_that_is_tiny_beside_another_divides_by_no_zero():
-    """The same, for the figures with which it was found."""
+def test_a_weight_that_is_tiny_next_to_another_does_not_divide_by_zero():
+    """The same, with the values that first showed it."""
     assert fair_shares({"a": 5.0, "b": 5.0}, {"a": 1e16, "b": 1.0}, 4.0)["a"] == approx(4.0)
 
 
@@ -131,8 +132,8 @@
 
 
 @given(use_entries, st.dictionaries(names, st.floats(0.1, 1e5)))
-def test_who_asks_for_less_than_its_weighted_part_is_never_over(rows, weights):
-    """The fault: more granted than asked, as of a request that waited, was over any share."""
+def test_a_demand_below_its_weighted_part_is_never_over(rows, weights):
+    """More granted than asked, as after a wait, used to exceed any share."""
     uses_told = notices(rows)
     granted = sum(use.granted_tokens for use in uses_told)
     known = [weights[name] for name in {use.name for use in uses_told} if name in weights]
@@ -146,16 +147,16 @@
 
 
 @given(use_entries)
-def test_shares_of_what_is_granted_add_up_to_one(rows):
-    """Guards against room that is granted to nobody, or twice."""
+def test_shares_of_granted_tokens_sum_to_one(rows):
+    """Guards against granted tokens that count for no organisation, or twice."""
     verdicts = share_verdicts(notices(rows), {})
     assert not verdicts or sum(v.share for v in verdicts.values()) == approx(1.0)
     assert not verdicts or sum(v.used for v in verdicts.values()) == approx(1.0)
 
 
 @pytest.mark.parametrize("invalid", [math.nan, math.inf, -math.inf, -1.0, -1e300, 1e300])
-def test_odd_figures_of_a_peer_change_nothing(invalid):
-    """The fault: one NaN in a notice ended all shares, a negative figure was divided up."""
+def test_invalid_values_from_a_peer_are_ignored(invalid):
+    """One NaN in a notice used to disable all shares, and a negative value was divided up."""
     known = uses(flood=(90_000, 40_000), quiet=(10_000, 5_000))
     for asked, granted in ((invalid, 1.0), (1.0, invalid), (invalid, invalid)):
         for name in ("flood", "quiet", "other"):
@@ -163,8 +164,8 @@
             assert share_verdicts(told, {}) == share_verdicts(known, {})
 
 
-def test_a_grant_counts_as_much_as_its_asking_does_by_then():
-    """The fault: a request that waited 2 s was granted 1.4 times what it had asked for."""
+def test_a_grant_decays_like_the_request_it_answers():
+    """A request that waited 2 s used to count as granted 1.4 times what it had asked for."""
     use = OrganisationUse()
     use.note_asked("a", 1_000, 0.0)
     use.note_granted("a", 1_000, 2.0, waited_s=2.0)
--- a/tests/systems/test_held_bytes.py
+++ b/tests/systems/test_held_bytes.py
@@ -1,4 +1,4 @@
-"""Bytes held for slow callers: bounded in all, and only the answer that holds the most pays."""
+"""Bytes held for slow callers: their total is bounded, and only the largest answer is ended."""
 
 import math
 
@@ -15,7 +15,7 @@
 """An answer and the size of a part of it; no part is larger than the box's bound."""
 
 steps = st.lists(st.one_of(parts, st.tuples(st.integers(0, 9), st.just(0))), max_size=60)
-"""Parts that come; one of size 0 stands for a caller that leaves."""
+"""Parts that arrive; a part of size 0 stands for a caller that leaves."""
 
 
 def make_held_bytes(box=BOX, stream=MAX_STREAM_BYTES):
@@ -27,8 +27,8 @@
 
 
 @given(steps)
-def test_the_sum_exceeds_the_bound_by_one_part_at_most_and_only_until_one_is_ended(given_steps):
-    """The fault: bytes held for callers grew until the box had no memory left."""
+def test_the_total_exceeds_the_bound_by_at_most_one_part_until_an_answer_is_ended(given_steps):
+    """Bytes held for callers used to grow until the box ran out of memory."""
     held = make_held_bytes()
     for now, (stream, part) in enumerate(given_steps):
         if part == 0:
@@ -43,8 +43,8 @@
 
 
 @given(steps)
-def test_the_largest_is_ended_and_the_others_are_untouched(given_steps):
-    """The fault: the caller that came last paid for the one that does not read."""
+def test_only_the_largest_answer_is_ended(given_steps):
+    """The caller that came last used to be cut off in place of the one that does not read."""
     held = make_held_bytes()
     for now, (stream, part) in enumerate(given_steps):
         if part == 0:
@@ -63,8 +63,10 @@
 
 
 @given(st.integers(1, 500), st.integers(1, 10**9))
-def test_answers_at_their_bound_never_exceed_the_boxs_bound(streams, box):
-    """The fault: answers within their own bounds were ended, as these did not shrink together."""
+def test_answers_at_their_bound_never_exceed_the_box_bound(streams, box):
+    """Answers within their own bounds used to be ended, since these bounds did not shrink as more
+    answers opened.
+    """
     held = make_held_bytes(box=box)
     for stream in range(streams):
         held.open(stream, 0.0)
@@ -74,8 +76,8 @@
     assert held.stream_bound <= MAX_STREAM_BYTES
 
 
-def test_a_caller_that_leaves_frees_what_was_held_for_it_at_once():
-    """The fault: bytes of callers that had left counted on, and another answer was ended."""
+def test_closing_an_answer_frees_its_bytes_at_once():
+    """Bytes of callers that had left used to count on, and another answer was ended."""
     held = make_held_bytes()
     for stream in (1, 2):
         held.open(stream, 0.0)
@@ -88,8 +90,8 @@
     assert held.total == 1000
 
 
-def test_the_age_counts_from_when_something_was_held_first():
-    """The fault: a long stream that was read well looked like one unread for as long."""
+def test_the_age_counts_from_the_first_held_byte():
+    """A long stream that was read well used to look like one left unread for as long."""
     held = make_held_bytes()
     held.open(1, 0.0)
     held.set_size(1, 10, 5.0)
@@ -100,8 +102,8 @@
     assert ended is not None and ended.age_s == 3.0
 
 
-def test_lowered_bounds_end_as_many_as_are_needed():
-    """The fault: after a reload with less memory, the old bytes stayed until the next part."""
+def test_lowered_bounds_end_as_many_answers_as_needed():
+    """After a reload with less memory, the old bytes used to stay until the next part arrived."""
     held = make_held_bytes()
     for stream in range(4):
         held.open(stream, 0.0)
@@ -114,13 +116,13 @@
 
 
 @pytest.mark.parametrize("memory_mb", [0.0, -1.0, math.nan, math.inf, -math.inf])
-def test_a_figure_that_tells_nothing_gives_no_bounds(memory_mb):
-    """The fault: a missing or faulty figure bounded all answers to nothing."""
+def test_an_unusable_memory_size_gives_no_bounds(memory_mb):
+    """A missing or invalid memory size used to bound all answers to nothing."""
     assert HeldBounds.of_memory(memory_mb) is None
 
 
-def test_without_bounds_nothing_is_ended_and_odd_sizes_change_nothing():
-    """The fault: a box that was told of no memory ended answers."""
+def test_without_bounds_no_answer_is_ended_and_invalid_sizes_are_ignored():
+    """A box without a configured memory size used to end answers."""
     held = HeldBytes(bounds=None)
     held.open(1, 0.0)
     held.set_size(1, 10**12, 0.0)
--- a/tests/systems/test_plain_queue.py
+++ b/tests/systems/test_plain_queue.py
@@ -1,4 +1,4 @@
-"""Few workers before many boxes: calls go where they end soonest, and not into a queue in vain."""
+"""Few workers that serve many boxes: calls go where they end soonest, or are refused at once."""
 
 import heapq
 import random
@@ -20,7 +20,7 @@
 
 
 class SimulatedWorkers:
-    """Three workers of six slots that serve in the order of arrival and shed beyond 24 waiting."""
+    """Three workers of six slots that serve in arrival order and reject calls beyond 24 waiting."""
 
     def __init__(self, seed):
         self.rng = random.Random(seed)
@@ -35,7 +35,7 @@
         )
 
     def send(self, number, now):
-        """When the call ends; None if it is shed."""
+        """Return when the call ends, or None if it is rejected."""
         load = self.load(number, now)
         if load.waiting >= MAX_WAITING:
             self.shed += 1
@@ -48,7 +48,7 @@
 
 
 def simulate(rate, *, has_probes, seed=1, until=10.0):
-    """Shares of the calls that ended in time, were refused, and were shed."""
+    """Return the shares of calls that ended in time, were refused, and were rejected by workers."""
     workers, rng = SimulatedWorkers(seed), random.Random(seed)
     now, in_time, refused, total = 0.0, 0, 0, 0
     while (now := now + rng.expovariate(rate)) < until:
@@ -74,8 +74,8 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_at_the_full_rate_of_the_service_calls_are_in_time_and_none_is_shed(seed):
-    """The fault: one of three workers queued for a second while the two others had free slots."""
+def test_calls_at_the_full_rate_of_the_service_are_in_time(seed):
+    """One of three workers used to queue for a second while the other two had free slots."""
     in_time, refused, shed = simulate(3 * SLOTS / WORK_S, has_probes=True, seed=seed)
     assert in_time >= 0.95
     assert shed < 0.01
@@ -83,15 +83,15 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_at_twice_the_rate_what_is_let_in_is_in_time(seed):
-    """The fault: all waited in full queues, so that nearly all were late."""
+def test_admitted_calls_at_twice_the_rate_are_in_time(seed):
+    """All calls used to wait in full queues, so that nearly all were late."""
     in_time, refused, shed = simulate(2 * 3 * SLOTS / WORK_S, has_probes=True, seed=seed)
     assert shed < 0.01
     assert in_time / (1.0 - refused) >= 0.95
     assert in_time > 2 * simulate(2 * 3 * SLOTS / WORK_S, has_probes=False, seed=seed)[0]
 
 
-def test_a_slow_worker_gets_calls_only_where_they_still_end_soonest():
+def test_a_slow_worker_gets_a_call_only_if_it_still_ends_soonest():
     loads = {
         "slow": QueueLoad(running=1, waiting=0, slots=6, pace=2.5),
         "queued": QueueLoad(running=6, waiting=2, slots=6),
@@ -100,21 +100,21 @@
     assert found.worker_id == "queued"
 
 
-def test_a_caller_that_can_not_come_again_is_let_in_while_it_waits():
+def test_a_caller_that_cannot_come_again_is_admitted_while_it_waits():
     loads = {"a": QueueLoad(running=6, waiting=24, slots=6)}
     late = {"work_s": 0.1, "target_left_s": 0.0, "is_last_try": True}
     assert not choose_worker(loads, time_left_s=1.0, **late).is_refused
     assert choose_worker(loads, time_left_s=0.3, **late).is_refused
 
 
-def test_without_news_or_a_known_working_time_nothing_is_decided():
+def test_without_a_load_or_a_working_time_there_is_no_choice():
     options = {"target_left_s": 0.4, "time_left_s": 4.0, "is_last_try": False}
     assert choose_worker({}, work_s=0.1, **options) is None
     loads = {"a": QueueLoad(running=1, waiting=0, slots=6)}
     assert choose_worker(loads, work_s=0.0, **options) is None
 
 
-def test_the_working_time_leaves_out_answers_beside_a_queue():
+def test_the_mean_working_time_ignores_answers_from_a_queue():
     time = MeanWorkTime()
     time.note(0.09, waiting=0)
     time.note(2.0, waiting=9)
--- a/tests/systems/test_ranked_room_wait.py
+++ b/tests/systems/test_ranked_room_wait.py
@@ -1,4 +1,4 @@
-"""One request in the order by rank: what is counted and given back, and how it is refused."""
+"""One request in the order by rank: what it counts, what it releases, and how it is refused."""
 
 import asyncio
 
@@ -22,11 +22,11 @@
 
 TOKENS = 5_600
 SHORT_PROMPT_TOKENS = 100
-"""Tokens of a prompt whose reading takes next to none of the target."""
+"""Tokens of a prompt whose reading takes almost none of the target."""
 
 
 def add_urgent_wait(harness, *, rank=0, waited_s=5.0):
-    """A more urgent request waits at this box, and has for long."""
+    """Add a more urgent request to this box that has waited for ``waited_s``."""
     room = harness.state.ranked_room("llm")
     room.begin_wait(rank)
     room.note_waited(rank, waited_s, harness.now)
@@ -48,12 +48,15 @@
     return next(entry for entry in entries if entry.name == name)
 
 
-# What is counted.
+# Counts.
 
 
-def test_a_request_that_asks_for_room_again_counts_once_for_its_organisation(monkeypatch):
-    """The fault: after each attempt that a worker rejected the request's tokens were counted anew,
-    asked and granted, and its organisation seemed to use a multiple of its share."""
+def test_a_repeated_poll_counts_once_for_the_organisation(monkeypatch):
+    """A request's tokens must count once, however many attempts workers reject.
+
+    Each further attempt used to add them to the asked and granted tokens, and the organisation
+    seemed to use a multiple of its share.
+    """
     harness = RoomHarness(monkeypatch, organisations=[organisation("o")])
     run = harness.request(0, organisation="o")
     room = ScriptedRoom(run=run)
@@ -63,9 +66,11 @@
     assert (use.asked_tokens, use.granted_tokens) == (TOKENS, TOKENS)
 
 
-def test_a_request_that_waited_is_not_granted_more_than_it_asked(monkeypatch):
-    """The fault: what was asked had faded by the time it was granted, what was granted had not. An
-    organisation that asked for little was over its share, and room that was short seemed not to be.
+def test_granted_tokens_of_a_request_that_waited_equal_its_asked_tokens(monkeypatch):
+    """A grant must be decayed like the request that was counted before the wait.
+
+    Without that, an organisation that asked for little was over its share, and room that was short
+    seemed not to be.
     """
     harness = RoomHarness(monkeypatch, organisations=[organisation("o")])
     harness.state.ranked_room("llm").note_granted(0, harness.now)
@@ -77,28 +82,28 @@
     assert use.asked_tokens < TOKENS
 
 
-def test_requests_without_an_organisation_are_counted_for_none(monkeypatch):
-    """Guards against an entry of the empty name that takes part in the division."""
+def test_requests_without_an_organisation_add_no_use(monkeypatch):
+    """Guards against an entry with an empty name that takes part in the division."""
     harness = RoomHarness(monkeypatch)
     harness.reserve(harness.request(0), [FULL, GRANTED])
     assert harness.state.use_by_service == {}
 
 
-# What is given back, however a request ends.
+# Release of counts, however a request ends.
 
 
 @pytest.mark.parametrize("script", [[GRANTED], [FULL, GRANTED], [FULL], [FULL, NO_WORKER]])
 @pytest.mark.parametrize("priority", [0, 1, 2])
-def test_a_request_that_ended_waits_no_longer(monkeypatch, script, priority):
-    """Guards against requests that are told as waiting for good, which hold all others back."""
+def test_a_request_that_ended_is_not_counted_as_waiting(monkeypatch, script, priority):
+    """Guards against requests that are reported as waiting for ever and hold back all others."""
     harness = RoomHarness(monkeypatch)
     harness.reserve(harness.request(priority), script)
     assert harness.state.ranked_room("llm").waiting_by_rank() == {}
 
 
 @pytest.mark.parametrize("error", [asyncio.CancelledError, RuntimeError])
-def test_a_request_that_is_broken_off_while_it_waits_waits_no_longer(monkeypatch, error):
-    """Guards against the same where the caller leaves, or an ask for room fails."""
+def test_a_request_that_fails_while_waiting_is_not_counted_as_waiting(monkeypatch, error):
+    """Guards against the same if the caller leaves, or a poll for room raises."""
     harness = RoomHarness(monkeypatch)
     seen = []
 
@@ -113,8 +118,8 @@
     assert harness.state.ranked_room("llm").waiting_by_rank() == {}
 
 
-def test_a_request_that_becomes_late_while_it_waits_is_counted_by_one_rank(monkeypatch):
-    """Guards against a request that stays counted by the rank that it had while in time."""
+def test_a_request_that_becomes_late_while_waiting_is_counted_in_one_rank(monkeypatch):
+    """Guards against a late request that still counts in the rank that it had while in time."""
     harness = RoomHarness(monkeypatch)
     for rank in [0] * 5 + [6] * 5:
         harness.state.ranked_room("llm").note_granted(rank, harness.now)
@@ -128,27 +133,29 @@
     assert harness.state.ranked_room("llm").waiting_by_rank() == {}
 
 
-# A request that holds back.
+# Holding back.
 
 
-def test_a_request_that_holds_back_is_refused_with_the_forecast(monkeypatch):
-    """Guards against a refusal as if there were no worker, and against one second as Retry-After
-    where requests of its rank wait for several."""
+def test_a_request_that_holds_back_is_refused_with_the_mean_wait(monkeypatch):
+    """Guards against a refusal for lack of workers, and against a Retry-After of one second where
+    requests of its rank wait for several.
+    """
     harness = RoomHarness(monkeypatch)
     add_urgent_wait(harness, waited_s=5.0)
     run = harness.request(2)
     room, found = harness.reserve(run, [FULL])
     assert found is None and room.asks == 1 and run.held_back
     assert room.code is Code.NO_CAPACITY
-    # Four mean waits are 10.6 s; at most 0.32 of the 14 s that are left, less a tenth.
+    # Four mean waits are 10.6 s. The limit is 0.32 of the remaining 14 s, less up to 10% of jitter.
     assert 4.0 <= retry_after(harness.refuse(run, room)) <= 4.48
     ended = [fields for kind, fields in harness.log.lines if kind is Decision.WAIT_ENDED]
     assert len(ended) == 1 and ended[0]["entry_rank"] == 0 and ended[0]["rank"] == 2
 
 
-def test_a_request_that_held_back_and_got_room_is_not_refused_as_one_that_does(monkeypatch):
-    """The fault: it counted as held back for good, so that a refusal for another cause later asked
-    its caller back by the wait for room."""
+def test_held_back_is_reset_once_the_request_gets_room(monkeypatch):
+    """The flag used to stay set. A later refusal for another cause then computed its Retry-After
+    from the wait for room.
+    """
     harness = RoomHarness(monkeypatch)
     add_urgent_wait(harness, waited_s=0.3)
     harness.on_sleep = lambda: serve_urgent(harness)
@@ -158,8 +165,8 @@
     assert not run.held_back
 
 
-def test_a_request_that_held_back_and_then_finds_no_worker_says_so(monkeypatch):
-    """The fault: the cause stayed that more urgent requests wait, also when no worker was left."""
+def test_a_request_that_held_back_and_then_finds_no_worker_reports_that(monkeypatch):
+    """The refusal used to name more urgent requests as its cause even if no worker was left."""
     harness = RoomHarness(monkeypatch)
     add_urgent_wait(harness, waited_s=0.3)
     harness.on_sleep = lambda: serve_urgent(harness)
@@ -169,8 +176,10 @@
     assert room.code is None and room.detail == ""
 
 
-def test_a_request_that_would_hold_back_is_refused_at_once_where_no_worker_is(monkeypatch):
-    """The fault: it held back and waited for room, and heard only later that there is no worker."""
+def test_a_request_does_not_hold_back_where_there_is_no_worker(monkeypatch):
+    """The request used to hold back and wait for room, and learned only later that there is no
+    worker.
+    """
     harness = RoomHarness(monkeypatch)
     add_urgent_wait(harness, waited_s=0.3)
     run = harness.request(1, prompt=SHORT_PROMPT_TOKENS)
@@ -182,14 +191,14 @@
 
 
 def fix_urgent_mean_wait(harness, mean_wait_s):
-    """A more urgent rank of which a request waits, for as long on average, whatever the time."""
+    """Replace the view by one in which an urgent request waits, with a constant mean wait."""
     counts = {0: RoomCounts(waited_s=2 * mean_wait_s - PRIOR_WAIT_S, grants=1.0)}
     view = RoomView(counts_by_rank=counts, waiting_by_rank={0: 1})
     harness.state.room_view = lambda _: view
 
 
-def test_a_request_that_holds_back_asks_once_before_it_is_late(monkeypatch):
-    """Guards against a rank that is shut out for as long as a more urgent one is short of room."""
+def test_a_request_that_holds_back_polls_once_before_it_is_late(monkeypatch):
+    """Guards against a rank that is locked out while a more urgent one is short of room."""
     harness = RoomHarness(monkeypatch)
     fix_urgent_mean_wait(harness, 0.3)
     run = harness.request(2, prompt=SHORT_PROMPT_TOKENS)
@@ -198,10 +207,13 @@
     assert 0.0 < run.in_time_left_s <= FINAL_POLL_LEAD_S
 
 
-def test_where_urgent_requests_wait_for_long_others_ask_once_too(monkeypatch):
-    """The fault: a request is refused once the forecast says that it will be late, which is the
-    mean wait of a more urgent rank before it is. The one ask comes 0.15 s before it is late, so
-    beyond 0.4 s, up to which late requests go on waiting, it never comes."""
+def test_a_request_that_holds_back_polls_once_even_if_urgent_waits_are_long(monkeypatch):
+    """Guards against a final poll that never takes place.
+
+    A request is refused once the forecast says that it will be late, which is the mean wait of a
+    more urgent rank before its target ends. Its final poll is due 0.15 s before that end. Up to a
+    mean wait of 0.4 s late requests go on waiting; beyond it the refusal came before the poll.
+    """
     harness = RoomHarness(monkeypatch)
     fix_urgent_mean_wait(harness, 0.6)
     room, _ = harness.reserve(harness.request(2, prompt=SHORT_PROMPT_TOKENS), [GRANTED])
@@ -209,9 +221,10 @@
 
 
 @pytest.mark.parametrize("priority", [0, 1, 2])
-def test_a_request_that_is_about_to_be_late_does_not_ask_without_a_pause(monkeypatch, priority):
-    """The fault: the pause ended at a moment before it would be late, and shrank to nothing as that
-    came near: asks followed one another at once."""
+def test_polls_of_a_request_that_is_about_to_be_late_keep_a_minimum_interval(monkeypatch, priority):
+    """The interval used to end shortly before the request would be late. It shrank to zero as that
+    time came near, and polls followed each other without a pause.
+    """
     harness = RoomHarness(monkeypatch)
     for rank in range(6):
         for _ in range(20):
@@ -222,12 +235,13 @@
     assert run.in_time_left_s < 0.0
 
 
-# Changes of the configuration.
+# Configuration changes.
 
 
-def test_an_order_that_ends_while_a_request_waits_leaves_a_rank_that_can_be_told(monkeypatch):
-    """The fault: the priority stood in for the rank, and one over 255 fits no notice: the box told
-    its peers nothing any more, and kept a count for each priority."""
+def test_the_rank_stays_valid_if_the_order_ends_while_a_request_waits(monkeypatch):
+    """The priority used to stand in for the rank. A rank over 255 fits no notice, so the box sent
+    its peers no notices any more, and it kept a count per priority.
+    """
     harness = RoomHarness(
         monkeypatch, priorities=(0, 700), organisations=[organisation("o", priority=900)]
     )
@@ -245,9 +259,10 @@
     assert harness.state.ranked_room("llm").waiting_by_rank() == {}
 
 
-def test_ranks_of_an_earlier_configuration_are_told_no_longer():
-    """The fault: each rank that ever waited stayed in all notices, and its count of next to nothing
-    raised the forecasts of less urgent ranks to the prior for good."""
+def test_ranks_of_an_earlier_configuration_are_dropped_from_notices():
+    """Each rank that had ever waited used to stay in all notices. Its tiny count raised the
+    forecasts of less urgent ranks to the prior for good.
+    """
     room = RoomWaitsByRank()
     room.note_waited(0, 5.0, 0.0)
     room.begin_wait(1)
@@ -258,7 +273,7 @@
     assert room.notices(60.0) == () and room == RoomWaitsByRank()
 
 
-def test_limits_of_a_new_configuration_count_at_once(monkeypatch):
+def test_limits_of_a_new_configuration_apply_at_once(monkeypatch):
     """Guards against shares by the limits of an earlier configuration."""
     large, small = (
         organisation("a", rate_per_s=rate, unit=LimitUnit.TOKENS) for rate in (9_000.0, 1_000.0)
@@ -279,9 +294,10 @@
         use.note_granted(name, granted, harness.now)
 
 
-def test_a_limit_of_requests_is_compared_with_one_of_tokens_by_mean_size(monkeypatch):
-    """The fault: 10 requests a second weighed a six-thousandth of 60,000 tokens a second, so that
-    the first organisation was over its share whatever it got."""
+def test_request_limits_are_converted_to_tokens_by_the_mean_request_size(monkeypatch):
+    """Unconverted, 10 requests a second weighed a six-thousandth of 60,000 tokens a second, so the
+    first organisation was over its share whatever it got.
+    """
     organisations = [
         organisation("by-request", rate_per_s=10.0, unit=LimitUnit.REQUESTS),
         organisation("by-token", rate_per_s=60_000.0, unit=LimitUnit.TOKENS),
@@ -295,17 +311,18 @@
     assert not any(verdict.is_over for verdict in verdicts)
 
 
-def test_verdicts_are_kept_by_service_not_by_organisation(monkeypatch):
-    """Guards against state that grows with organisations, and against summing up all notices for
-    each of them: that took 0.9 ms, four times a second for each."""
+def test_share_verdicts_are_cached_per_service(monkeypatch):
+    """Guards against a cache that grows with the number of organisations, and against summing up
+    all notices for each of them, which took 0.9 ms four times a second for each.
+    """
     harness = RoomHarness(monkeypatch, organisations=[organisation("o0")])
     for number in range(100):
         harness.state.share_verdict("llm", f"o{number}")
     assert list(harness.state._shares_by_service) == ["llm"]
 
 
-def test_without_an_order_by_rank_peers_uses_decide_nothing(monkeypatch):
-    """Guards against shares that are in force where no order is."""
+def test_reported_use_has_no_effect_without_an_order_by_rank(monkeypatch):
+    """Guards against shares that apply where no order does."""
     harness = RoomHarness(monkeypatch, order=OrderMode.UNORDERED, organisations=[organisation("o")])
     uses = [OrganisationUseNotice(name="o", asked_tokens=9e6, granted_tokens=5e6)]
     harness.state.peers.uses = lambda *_: uses
--- a/tests/systems/test_request_rank.py
+++ b/tests/systems/test_request_rank.py
@@ -1,4 +1,4 @@
-"""Ranks: an operator's priorities give one order, and none where they state none."""
+"""Ranks of requests: derived from the configured priorities, and absent without any."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -30,7 +30,7 @@
 
 
 @given(priorities, priorities)
-def test_the_organisation_goes_before_the_route(organisations, routes):
+def test_ranks_sort_by_organisation_before_route(organisations, routes):
     ranks = RequestRanks.of_priorities(routes, organisations)
     pairs = sorted((first, second) for first in organisations for second in routes)
     found = [ranks.rank(*pair) for pair in pairs]
@@ -38,8 +38,8 @@
     assert all(0 <= rank < MAX_RANKS for rank in found)
 
 
-def test_priorities_of_other_services_and_of_plain_calls_make_no_order():
-    """A deployment whose streams all have one priority must be served as before."""
+def test_priorities_of_other_services_and_of_plain_calls_define_no_order():
+    """Guards against an order in a deployment whose streams all have the same priority."""
     known = table(
         route("a", 1),
         route("b", 1),
@@ -55,7 +55,7 @@
     assert ranks.rank(None, 0) < ranks.rank(None, 2)
 
 
-def test_organisations_that_state_no_priority_stand_between_the_others():
+def test_organisations_without_a_priority_rank_between_the_others():
     organisations = Organisations(
         by_name={
             name: Organisation(name=name, priority=priority)
@@ -68,7 +68,7 @@
     assert ranks.rank(0, 1) < ranks.rank(None, 0) < ranks.rank(None, 1) < ranks.rank(9, 0)
 
 
-def test_a_pair_that_the_configuration_does_not_know_goes_last():
-    """A request may have come under the configuration before."""
+def test_priorities_that_the_configuration_lacks_rank_last():
+    """A request may have arrived under the previous configuration."""
     ranks = RequestRanks.of_service(table(route("a", 0), route("b", 1)), "llm")
     assert ranks.rank(None, 7) == ranks.count - 1
--- a/tests/systems/test_room_forecast.py
+++ b/tests/systems/test_room_forecast.py
@@ -1,4 +1,4 @@
-"""Waiting for room: while the answer will likely come, and not a moment longer."""
+"""Forecast of the wait for room: a request waits only while its caller is likely to be served."""
 
 from croftchute.systems.room_forecast import (
     HALF_LIFE_S,
@@ -26,28 +26,28 @@
     return RoomWait(elapsed_s=elapsed_s, time_left_s=time_left_s, reading_s=reading_s)
 
 
-def test_a_request_waits_while_it_will_likely_be_in_time():
+def test_a_request_waits_while_it_is_likely_to_be_in_time():
     assert wait(0.0).is_worthwhile(ROUTE, mean_wait_s=0.6)
     assert wait(0.5).is_worthwhile(ROUTE, mean_wait_s=0.15)
 
 
-def test_a_request_that_will_not_be_served_hears_so_at_once():
-    """It used to wait a fifth of its target whatever was known, and half of it on its return."""
+def test_a_request_that_will_not_be_served_is_refused_at_once():
+    """It used to wait a fifth of its target in any case, and half of it after a return."""
     assert not wait(0.0).is_worthwhile(ROUTE, mean_wait_s=5.0)
     assert not wait(0.0, time_left_s=0.3).is_worthwhile(ROUTE, mean_wait_s=0.2)
 
 
-def test_a_late_request_goes_on_only_if_room_is_near_and_its_caller_still_there():
+def test_a_late_request_waits_only_if_room_is_near_and_its_caller_still_waits():
     assert wait(1.0).is_worthwhile(ROUTE, mean_wait_s=0.4)
     assert not wait(1.0).is_worthwhile(ROUTE, mean_wait_s=MAX_LATE_MEAN_WAIT_S + 0.1)
     assert not wait(caller_timeout_s(ROUTE) / 2).is_worthwhile(ROUTE, mean_wait_s=0.4)
 
 
-def test_callers_bear_what_the_platform_says():
+def test_the_caller_timeout_is_four_targets():
     assert caller_timeout_s(ROUTE) == 4 * ROUTE.target_s
 
 
-def test_waits_in_vain_lengthen_the_forecast_and_grants_shorten_it():
+def test_waits_without_room_lengthen_the_forecast_and_grants_shorten_it():
     history = RoomHistory()
     before = history.counts(0.0).mean_wait_s
     for step in range(20):
@@ -58,12 +58,12 @@
     assert before < history.counts(2.4).mean_wait_s < longer
 
 
-def test_what_was_seen_long_ago_does_not_count():
+def test_old_waits_decay():
     history = RoomHistory()
     history.note_waited(60.0, 0.0)
     assert history.counts(20 * HALF_LIFE_S).mean_wait_s == RoomCounts().mean_wait_s
 
 
-def test_boxes_add_up():
+def test_counts_of_boxes_are_added():
     total = RoomCounts(waited_s=1.0, grants=2.0) + RoomCounts(waited_s=2.0, grants=1.0)
     assert total == RoomCounts(waited_s=3.0, grants=3.0)
--- a/tests/systems/test_room_order.py
+++ b/tests/systems/test_room_order.py
@@ -1,4 +1,4 @@
-"""Who gets room that comes free: by how often they ask, and who goes on waiting."""
+"""Order by rank among requests that wait for room: poll intervals and holding back."""
 
 import math
 
@@ -40,24 +40,24 @@
     return timeouts.room_poll_interval_s(ROUTE, mode, since_first_try_s=before_s, is_begun=is_begun)
 
 
-def test_requests_that_can_be_in_time_ask_four_times_as_often_as_late_ones():
+def test_requests_that_can_be_in_time_poll_four_times_as_often_as_late_ones():
     mode = ReturnMode.IN_TIME_FIRST
     assert 4 * poll_interval(mode, FIRST_TRY_S) <= poll_interval(mode, LATE_RETRY_S)
 
 
-def test_where_returned_callers_go_first_they_ask_more_often():
+def test_returned_callers_poll_more_often_in_the_mode_that_prefers_them():
     mode = ReturnMode.RETURNED_FIRST
     assert poll_interval(mode, LATE_RETRY_S) < poll_interval(mode, FIRST_TRY_S)
 
 
-def test_streams_that_were_cut_ask_most_often_either_way():
+def test_interrupted_streams_poll_most_often_in_both_modes():
     for mode in RETURN_MODES:
         assert poll_interval(mode, LATE_RETRY_S, is_begun=True) <= min(
             poll_interval(mode, FIRST_TRY_S), poll_interval(mode, LATE_RETRY_S)
         )
 
 
-def test_a_returned_caller_that_is_late_does_not_wait_as_if_it_were_in_time():
+def test_a_returned_caller_that_is_late_waits_by_the_rule_for_late_requests():
     wait = RoomWait(elapsed_s=0.0, time_left_s=9.0, reading_s=0.2, since_first_try_s=LATE_RETRY_S)
     first = RoomWait(elapsed_s=0.0, time_left_s=14.0, reading_s=0.2)
     assert first.is_worthwhile(ROUTE, mean_wait_s=0.6)
@@ -65,13 +65,13 @@
     assert wait.is_worthwhile(ROUTE, mean_wait_s=0.3)
 
 
-# An order by rank: one kind bursts, and callers ask for more than the engines can hold.
+# Order by rank in a burst of one rank that asks for more than the engines can hold.
 
 RATE_BY_RANK = {0: 8.0, 1: 6.0, 2: 24.0}
-"""Requests a second by rank: the least urgent kind at 2.3 times its usual."""
+"""Requests a second by rank: the least urgent rank at 2.3 times its usual rate."""
 
 MAX_WAIT_S_BY_RANK = {0: 0.6, 1: 0.8, 2: 1.8}
-"""What the targets leave for the wait: seconds."""
+"""Seconds of the target that are left for the wait."""
 
 
 def run_burst(mode, *, boxes=61, seed=1, has_peer_notices=True, until=12.0):
@@ -83,11 +83,12 @@
 
 
 @pytest.mark.parametrize("boxes", [8, 61, 360])
-def test_in_a_burst_of_the_least_urgent_kind_the_urgent_ones_are_served(boxes):
-    """The fault: whoever asked next got room, so the kind with the longest target fared best.
+def test_urgent_ranks_are_served_in_a_burst_of_the_least_urgent_rank(boxes):
+    """Without an order, whoever polled next got room, so the rank with the longest target fared
+    best.
 
-    The two urgent kinds ask for 0.6 of the room; four of five of the first and two of three of the
-    second at least have to get it.
+    The two urgent ranks ask for 0.6 of the room. At least four of five requests of the first and
+    two of three of the second have to get it.
     """
     simulation = run_burst(OrderMode.ENTRY, boxes=boxes)
     assert simulation.served_share(0) >= 0.8
@@ -96,8 +97,8 @@
     assert run_burst(OrderMode.UNORDERED, boxes=boxes).served_share(0) < 0.8
 
 
-def test_the_order_wastes_no_room():
-    """Requests that hold back must not leave engines idle."""
+def test_the_order_does_not_leave_engines_idle():
+    """Guards against requests that hold back although room is free."""
     ordered, unordered = run_burst(OrderMode.ENTRY), run_burst(OrderMode.UNORDERED)
     total = [
         sum(map(len, simulation.waits_by_rank.values())) for simulation in (ordered, unordered)
@@ -105,18 +106,20 @@
     assert total[0] >= 0.9 * total[1]
 
 
-def test_the_least_urgent_are_not_starved():
+def test_the_least_urgent_rank_is_not_starved():
     simulation = run_burst(OrderMode.ENTRY, until=20.0)
     assert simulation.served_share(2) > 0.15
 
 
-def test_a_box_without_news_orders_its_own_requests():
-    """Cut off, or just started: it goes by what it sees itself, and serves the urgent no worse."""
+def test_a_box_without_peer_notices_orders_its_own_requests():
+    """A box that is cut off or has just started goes by its own counts, and must not serve urgent
+    requests worse than others.
+    """
     simulation = run_burst(OrderMode.ENTRY, boxes=8, has_peer_notices=False)
     assert simulation.served_share(0) >= simulation.served_share(2)
 
 
-def test_calm_load_is_served_alike_in_any_way():
+def test_moderate_load_is_served_in_every_mode():
     for mode in (OrderMode.UNORDERED, OrderMode.PACED, OrderMode.ENTRY):
         simulation = RoomSimulation(boxes=61, capacity=140, run_s=3.4, mode=mode)
         simulation.run({0: 8.0, 1: 6.0, 2: 10.0}, until=10.0, max_wait_s_by_rank=MAX_WAIT_S_BY_RANK)
@@ -130,7 +133,7 @@
         max_size=10,
     )
 )
-def test_no_rank_is_told_a_shorter_wait_than_a_more_urgent_one(rows):
+def test_no_rank_has_a_shorter_mean_wait_than_a_more_urgent_one(rows):
     view = RoomView.of(
         RankRoomNotice(rank=rank, waited_s=waited, grants=grants)
         for rank, (waited, grants) in rows.items()
@@ -140,12 +143,12 @@
 
 
 @given(st.integers(0, 19), st.integers(0, 19))
-def test_the_more_urgent_asks_at_least_as_often(one, other):
+def test_the_more_urgent_rank_polls_at_least_as_often(one, other):
     first, second = sorted((one, other))
     assert poll_interval_s(first) <= poll_interval_s(second) <= MAX_POLL_INTERVAL_S
 
 
-def test_a_request_that_stops_waiting_is_no_longer_told():
+def test_a_request_that_stops_waiting_leaves_the_notices():
     room = RoomWaitsByRank()
     room.begin_wait(1)
     room.note_waited(1, 0.2, 0.0)
@@ -156,9 +159,10 @@
 
 
 @pytest.mark.parametrize("invalid", [math.nan, math.inf, -math.inf, -1.0, -1e300, 1e300])
-def test_odd_figures_of_a_peer_change_nothing(invalid):
-    """The fault: -1 grants were divided by as none, NaN refused all requests of the service, and
-    seconds without end held back all but the most urgent."""
+def test_invalid_values_from_a_peer_are_ignored(invalid):
+    """A sum with -1 grants used to be divided by zero, NaN refused all requests of the service, and
+    infinite seconds held back all but the most urgent rank.
+    """
     known = [RankRoomNotice(rank=1, waited_s=3.0, grants=2.0, waiting=1)]
     for waited_s, grants in ((invalid, 1.0), (1.0, invalid), (invalid, invalid)):
         for rank in (0, 1, 2):
@@ -167,15 +171,15 @@
 
 
 @pytest.mark.parametrize("rank, waiting", [(MAX_ROOM_RANKS, 1), (255, 1), (-1, 1), (1, -5)])
-def test_odd_ranks_and_counts_of_a_peer_change_nothing(rank, waiting):
-    """Guards against state that grows by what peers tell, and against waiting less than nobody."""
+def test_invalid_ranks_and_counts_from_a_peer_are_ignored(rank, waiting):
+    """Guards against state that grows with what peers report, and against negative counts."""
     known = [RankRoomNotice(rank=1, waited_s=3.0, grants=2.0, waiting=1)]
     row = RankRoomNotice(rank=rank, waited_s=9.0, grants=0.0, waiting=waiting)
     assert RoomView.of([*known, row]) == RoomView.of(known)
 
 
 @given(st.integers(-1_000, 1_000), st.integers(1, 10), st.booleans(), st.booleans())
-def test_any_rank_for_room_can_be_told(rank, ranks, is_late, is_over):
-    """The fault: a rank over 255 fits no notice."""
+def test_every_room_rank_fits_a_notice(rank, ranks, is_late, is_over):
+    """A rank over 255 does not fit."""
     found = room_rank(rank, ranks=ranks, is_late=is_late, is_over_share=is_over)
     assert 0 <= found < MAX_ROOM_RANKS
--- a/tests/systems/test_size_lanes.py
+++ b/tests/systems/test_size_lanes.py
@@ -1,9 +1,9 @@
 """Room for large requests among many small ones, in a burst.
 
-The load answers what was seen at a service of 70 engines of 26,000 tokens: prompts of 1,500 to
-25,000 tokens, a mean of 9,000, streams of three seconds, requests that ask all engines every tenth
-of a second until their target is over. Requests of over half an engine were served in 4 of 100
-tries there, small ones in 90.
+The load follows what was observed at a service of 70 engines of 26,000 tokens: prompts of 1,500 to
+25,000 tokens with a mean of 9,000, streams of three seconds, and requests that poll all engines
+every tenth of a second until their target has passed. There, requests over half an engine were
+served in 4 of 100 tries, small ones in 90 of 100.
 """
 
 import random
@@ -32,7 +32,7 @@
 
 
 def served_shares(rng, rate, *, has_lanes):
-    """Shares of large and of all requests that found room."""
+    """Return the shares of large and of all requests that found room."""
     beliefs = engines()
     free = {belief.worker.id: KV_TOKENS for belief in beliefs}
     demand = StageDemand()
@@ -75,7 +75,7 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_large_requests_are_served_half_as_often_as_all_where_blind_sharing_starves_them(seed):
+def test_a_lane_serves_large_requests_that_starve_without_one(seed):
     rate = 32.0
     blind_large, blind_all = served_shares(random.Random(seed), rate, has_lanes=False)
     assert blind_large < 0.4 * blind_all
@@ -84,8 +84,8 @@
     assert lane_all > 0.8 * blind_all
 
 
-def test_where_there_is_room_for_most_lanes_cost_next_to_nothing():
-    """By the mean of six seeds: single ones differ by up to 0.09 either way."""
+def test_a_lane_costs_almost_nothing_while_there_is_room_for_most_requests():
+    """Compares the means of six seeds, since single seeds differ by up to 0.09 either way."""
     seeds = range(1, 7)
     blind = [served_shares(random.Random(seed), 16.0, has_lanes=False) for seed in seeds]
     lanes = [served_shares(random.Random(seed), 16.0, has_lanes=True) for seed in seeds]
@@ -103,7 +103,7 @@
     assert lane_candidates(beliefs, is_large_request=False, share=0.0, rejected_ids=()) == beliefs
 
 
-def test_all_boxes_keep_the_same_engines_for_the_lane():
+def test_all_boxes_choose_the_same_engines_for_the_lane():
     beliefs = engines()
     other_order = list(reversed(beliefs))
     lanes = [
@@ -119,7 +119,7 @@
     assert not lanes[0] & {b.worker.id for b in rest}
 
 
-def test_a_large_request_may_have_the_rest_once_the_lane_is_full():
+def test_a_large_request_may_use_the_rest_once_the_lane_is_full():
     beliefs = engines()
     lane = lane_candidates(beliefs, is_large_request=True, share=0.25, rejected_ids=())
     full = {b.worker.id for b in lane}
@@ -128,7 +128,7 @@
 
 
 @pytest.mark.parametrize("number", [1, 2])
-def test_a_service_too_small_for_a_lane_is_left_whole(number):
+def test_a_service_too_small_for_a_lane_is_not_divided(number):
     beliefs = engines(number)
     for large in (True, False):
         assert (
--- a/tests/systems/test_unordered_room.py
+++ b/tests/systems/test_unordered_room.py
@@ -1,4 +1,4 @@
-"""Off by default: without an order by rank, requests wait for room as before there was one."""
+"""Without an order by rank, which is the default, requests wait for room as before it existed."""
 
 import asyncio
 
@@ -26,7 +26,7 @@
 
 
 class ReferenceRoom(ScriptedRoom):
-    """Waits as the code did before there was an order; kept here to compare with."""
+    """The wait for room from before there was an order, kept for comparison."""
 
     async def reserve(self):
         run = self.run
@@ -83,7 +83,7 @@
 
 
 def reference_refusal(run, room):
-    """Refuse with the Retry-After that was sent before there was an order."""
+    """Return the code and Retry-After of a refusal from before there was an order."""
     code = room.code or Code.NO_UPSTREAM
     mean_wait_s = run.state.mean_room_wait_s(run.service) if run.full else None
     retry_after_s = timeouts.retry_after(
@@ -117,12 +117,12 @@
 @given(
     script=scripts, waited_s=waits, is_started=st.booleans(), deadline_s=st.sampled_from([1.0, 8.0])
 )
-def test_requests_wait_are_logged_and_refused_as_before(
+def test_waits_logs_and_refusals_match_the_reference(
     monkeypatch, options, script, waited_s, is_started, deadline_s
 ):
-    """Guards against a deployment without an order whose outcomes change by an upgrade.
+    """Guards against an upgrade that changes the results of a deployment without an order.
 
-    The same script of answers is played to the loop of before and to that of today.
+    Runs the same script of poll results through the reference loop and the current one.
     """
     script = [*script, FULL]
     results = []
@@ -147,8 +147,8 @@
 
 
 @each_unordered_mode
-def test_nothing_of_an_order_is_kept_logged_or_told(monkeypatch, options):
-    """Guards against notices and lines that grow where no order is in force."""
+def test_no_state_of_an_order_is_kept_logged_or_reported(monkeypatch, options):
+    """Guards against notices and log lines that grow although no order is in force."""
     harness = RoomHarness(monkeypatch, organisations=[organisation("o", rate_per_s=5.0)], **options)
     run = harness.request(2, organisation="o")
     room, found = harness.reserve(run, [FULL, FULL, GRANTED])
@@ -159,9 +159,10 @@
 
 
 @each_unordered_mode
-def test_engines_get_the_priority_of_before(monkeypatch, options):
-    """Guards against ranks in the place of priorities at engines and permits: the organisation's
-    priority if it has one, else the route's."""
+def test_engines_get_priorities_instead_of_ranks(monkeypatch, options):
+    """Guards against ranks in place of priorities at engines and permits. The priority is that of
+    the organisation if it has one, else that of the route.
+    """
     harness = RoomHarness(
         monkeypatch, organisations=[organisation("o", priority=7), organisation("p")], **options
     )
@@ -171,8 +172,8 @@
 
 
 @each_unordered_mode
-def test_the_refusal_of_a_full_service_is_the_same(monkeypatch, options):
-    """Guards against another status, code or header of the answer itself."""
+def test_the_refusal_by_a_full_service_is_unchanged(monkeypatch, options):
+    """Guards against another status, code or header in the response."""
     harness = RoomHarness(monkeypatch, **options)
     harness.state.room("llm").note_waited(50.0, harness.now)
     run = harness.request(2, deadline_s=8.0)
@@ -181,5 +182,5 @@
     run.refuse(room.code, Ran.NOT_RUN, room.detail)
     head = run.connection.sent
     assert head.startswith(b"HTTP/1.1 503") and b'"no_capacity"' in head
-    # 0.32 of the time left, less a tenth at most.
+    # The limit is 0.32 of the remaining 8 s, less up to 10% of jitter.
     assert 2.304 <= float(head.split(b"retry-after: ")[1].split(b"\r\n")[0]) <= 2.56
