--- a/src/croftchute/forwarding/workers/plain_admission.py
+++ b/src/croftchute/forwarding/workers/plain_admission.py
@@ -41,12 +41,12 @@
         belief.worker.id: load for belief in asked if (load := _load(run.state, belief)) is not None
     }
     work_s = run.state.work_times.usual_s(run.service)
-    choice = plain_queue.place(
+    choice = plain_queue.choose_worker(
         loads_by_id,
         work_s=work_s,
         target_left_s=run.route.target_s - run.before_s - (run.now - run.started_at),
         time_left_s=run.time_left_s,
-        is_last_try=run.arrivals > 0 or plain_queue.has_come_back(run.route, run.before_s),
+        is_last_try=run.arrivals > 0 or plain_queue.is_returning_caller(run.route, run.before_s),
     )
     if choice is None:
         return None
--- a/src/croftchute/systems/first_tries.py
+++ b/src/croftchute/systems/first_tries.py
@@ -1,45 +1,48 @@
-"""How long ago a caller first tried, by how much less time it has left than first tries have.
+"""Time since a caller's first try, derived from the time that it has left.
 
-Callers name what is left of their time, not when they began. First tries have the most; what that
-is, is learnt from the requests of each route, since callers need not use all of the route's time.
+Callers send how much time they have left, not when they started. First tries have the most. The
+router learns that maximum per route from the requests, since callers need not use the whole timeout
+of the route.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
 
-KEPT_S = 15.0
-"""Seconds for which the most that was seen counts, at least: longer than callers go on trying."""
+MIN_WINDOW_S = 15.0
+"""Seconds for which an observed maximum counts at least: longer than callers keep trying."""
 
 
 @dataclass(kw_only=True, slots=True)
-class _Most:
-    """The most time left in the present span and in the one before it."""
+class _MaxTimeLeft:
+    """Largest time left in the current window and in the previous one."""
 
     began_at: float
-    present_s: float = 0.0
-    before_s: float = 0.0
+    current_s: float = 0.0
+    previous_s: float = 0.0
 
 
 @dataclass(kw_only=True)
-class FirstTries:
-    """The time that first tries of each route have left."""
+class FirstTryTimes:
+    """Largest time left that requests of each route had: that of first tries."""
 
-    _most_by_route: dict[str, _Most] = field(default_factory=dict)
+    _max_time_left_by_route: dict[str, _MaxTimeLeft] = field(default_factory=dict)
 
-    def time_before(self, route: str, time_left_s: float | None, now: float) -> float:
-        """Seconds since the first try of a caller that has so much time left; notes it.
+    def since_first_try_s(self, route: str, time_left_s: float | None, now: float) -> float:
+        """Return the seconds since the caller's first try, and record its time left.
 
-        >>> tries = FirstTries()
-        >>> tries.time_before("r", 14.2, now=0.0), tries.time_before("r", 9.7, now=1.0)
+        >>> tries = FirstTryTimes()
+        >>> tries.since_first_try_s("r", 14.2, now=0.0), tries.since_first_try_s("r", 9.7, now=1.0)
         (0.0, 4.5)
         """
         if time_left_s is None:
             return 0.0
-        most = self._most_by_route.setdefault(route, _Most(began_at=now))
-        if now - most.began_at > KEPT_S:
-            most.before_s = most.present_s if now - most.began_at < 2 * KEPT_S else 0.0
-            most.present_s = 0.0
-            most.began_at = now
-        most.present_s = max(most.present_s, time_left_s)
-        return max(0.0, max(most.present_s, most.before_s) - time_left_s)
+        window = self._max_time_left_by_route.setdefault(route, _MaxTimeLeft(began_at=now))
+        if now - window.began_at > MIN_WINDOW_S:
+            window.previous_s = (
+                window.current_s if now - window.began_at < 2 * MIN_WINDOW_S else 0.0
+            )
+            window.current_s = 0.0
+            window.began_at = now
+        window.current_s = max(window.current_s, time_left_s)
+        return max(0.0, max(window.current_s, window.previous_s) - time_left_s)
--- a/src/croftchute/systems/request_rank.py
+++ b/src/croftchute/systems/request_rank.py
@@ -1,4 +1,4 @@
-"""The order among requests for the same engines, by the priorities that a configuration states."""
+"""Ranks of requests for the same engines, derived from the configured priorities."""
 
 from __future__ import annotations
 
@@ -8,29 +8,30 @@
 
 from croftchute.tables.routing import RouteKind, RoutingTable
 
-UNSTATED_PRIORITY = 5
-"""Priority of an organisation that states none: the middle of the scale of engines."""
+DEFAULT_PRIORITY = 5
+"""Priority of an organisation without one: the middle of the engines' scale."""
 
-MOST_RANKS = 10
-"""Ranks that are told apart: as many as the engines' scale of priorities has."""
+MAX_RANKS = 10
+"""Largest number of distinct ranks: the engines' scale has as many priorities."""
 
-Pair = tuple[int, int]
+PriorityPair = tuple[int, int]
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class RequestRanks:
-    """The ranks of the streams to one service; 0 is the most urgent.
+    """Ranks of the streams to one service; 0 is the most urgent.
 
-    A rank is the place of a pair of priorities, the organisation's before the route's. Where all
-    streaming routes have one priority, the operator states no order and ``is_ordered`` is false.
+    A rank is the position of a pair of priorities, sorted by the organisation's priority, then by
+    the route's. If all streaming routes have the same priority, the operator has configured no
+    order and ``is_ordered`` is false.
     """
 
     is_ordered: bool = False
-    rank_by_pair: dict[Pair, int] = field(default_factory=dict)
+    rank_by_priorities: dict[PriorityPair, int] = field(default_factory=dict)
 
     @classmethod
     def of_service(cls, table: RoutingTable, service: str) -> Self:
-        """The ranks that a configuration gives to the streams to a service."""
+        """Return the ranks that a configuration gives to the streams to a service."""
         routes = {
             route.priority
             for group in table.routes_by_host.values()
@@ -42,7 +43,7 @@
 
     @classmethod
     def of_priorities(cls, routes: Iterable[int], organisations: Iterable[int | None]) -> Self:
-        """The ranks of all pairs of some priorities.
+        """Return the ranks of all pairs of route and organisation priorities.
 
         >>> ranks = RequestRanks.of_priorities({0, 2}, {None, 1})
         >>> ranks.rank(1, 0), ranks.rank(1, 2), ranks.rank(None, 0), ranks.rank(None, 2)
@@ -51,27 +52,29 @@
         False
         """
         by_route = sorted(set(routes))
-        by_organisation = sorted({_stated(priority) for priority in organisations})
+        by_organisation = sorted({_priority_or_default(priority) for priority in organisations})
         pairs = [(first, second) for first in by_organisation for second in by_route]
-        ranks = {pair: min(place, MOST_RANKS - 1) for place, pair in enumerate(pairs)}
-        return cls(is_ordered=len(by_route) > 1, rank_by_pair=ranks)
+        ranks = {pair: min(position, MAX_RANKS - 1) for position, pair in enumerate(pairs)}
+        return cls(is_ordered=len(by_route) > 1, rank_by_priorities=ranks)
 
     @property
     def count(self) -> int:
-        """How many ranks there are."""
-        return 1 + max(self.rank_by_pair.values(), default=0)
+        """Number of ranks."""
+        return 1 + max(self.rank_by_priorities.values(), default=0)
 
-    def rank(self, organisation: int | None, route: int) -> int:
-        """The rank of a request by both priorities; pairs of another configuration go last."""
-        return self.rank_by_pair.get((_stated(organisation), route), self.count - 1)
+    def rank(self, organisation_priority: int | None, route_priority: int) -> int:
+        """Return the rank of a request; pairs that the configuration lacks go last."""
+        return self.rank_by_priorities.get(
+            (_priority_or_default(organisation_priority), route_priority), self.count - 1
+        )
 
 
-def _stated(priority: int | None) -> int:
-    return UNSTATED_PRIORITY if priority is None else priority
+def _priority_or_default(priority: int | None) -> int:
+    return DEFAULT_PRIORITY if priority is None else priority
 
 
 def _organisation_priorities(table: RoutingTable) -> set[int | None]:
-    """The priorities of all organisations, and None for requests that belong to none."""
+    """Return the priorities of all organisations, with None for requests that have none."""
     if table.organisations is None:
         return {None}
     stated = {organisation.priority for organisation in table.organisations.by_name.values()}
--- a/src/croftchute/systems/room_order.py
+++ b/src/croftchute/systems/room_order.py
@@ -1,7 +1,9 @@
-"""Who gets decode memory that comes free: an order by rank among all who wait, over all boxes.
+"""Order by rank among all requests that wait for decode memory, across all boxes.
 
-Nobody owns the queue. Each box asks engines for its own requests, the urgent ones more often, and
-tells others what requests of each rank wait. From that it knows which ranks wait in vain.
+There is no shared queue. Each box polls the engines for room, that is, free decode memory, on
+behalf of its own requests, more often for urgent ranks. Boxes report to each other how many
+requests of each rank wait, and how long. From these reports a box knows which ranks are short of
+room.
 """
 
 from __future__ import annotations
@@ -12,58 +14,61 @@
 from dataclasses import dataclass, field
 from enum import StrEnum
 
-from croftchute.systems.request_rank import MOST_RANKS
+from croftchute.systems.request_rank import MAX_RANKS
 from croftchute.systems.room_forecast import RoomCounts, RoomHistory
 from croftchute.tables.peers import RankRoomNotice
 
-FIRST_PAUSE_S = 0.03
-"""Seconds between two asks for room of the most urgent rank: about as often as streams end."""
+BASE_POLL_INTERVAL_S = 0.03
+"""Poll interval of the most urgent rank: streams end about as often."""
 
-PAUSE_RATIO = 3.0
-"""How many times as long the next rank of requests pauses, two ranks for room: room that comes free
-mostly goes to the first."""
+POLL_INTERVAL_RATIO = 3.0
+"""Ratio of the poll intervals of two successive request ranks, which are two room ranks apart. Most
+of the room that comes free goes to the more urgent one."""
 
-PAUSE_SHARE_OF_TARGET = 0.1
-"""Share of the target for which a request pauses at the most: it asks some times before it is
-late, however many ranks there are that nobody waits with."""
+MAX_POLL_INTERVAL_TARGET_SHARE = 0.1
+"""Largest poll interval as a share of the target. A request polls several times before it is late,
+even if many ranks before its own are empty."""
 
-LONGEST_PAUSE_S = 0.5
-"""Longest pause of any rank: a fraction of any caller's patience."""
+MAX_POLL_INTERVAL_S = 0.5
+"""Largest poll interval of any rank: a fraction of the time that callers wait."""
 
-SHORTEST_PAUSE_S = 0.01
-"""Shortest pause: a request that is about to be late does not ask again and again at once."""
+MIN_POLL_INTERVAL_S = 0.01
+"""Smallest poll interval: a request that is about to be late does not poll in a busy loop."""
 
-LAST_CHANCE_S = 0.15
-"""Seconds before a request would be late at which it asks once although it holds back, so that no
-rank is shut out for as long as a more urgent one is short of room."""
+FINAL_POLL_LEAD_S = 0.15
+"""Seconds before it would be late at which a request that holds back polls once. No rank is locked
+out for as long as a more urgent one is short of room."""
 
-ENTRY_WAIT_S = 0.2
-"""Mean wait of a more urgent rank from which on others hold back: a fourth of the shortest targets
-in use, so that reading the prompt still fits the rest."""
+ENTRY_WAIT_THRESHOLD_S = 0.2
+"""Mean wait of a rank above which less urgent requests hold back. It is a quarter of the shortest
+targets in use, so that reading the prompt still fits into the rest."""
 
-MIN_WAITED_S = 0.2
-"""Seconds that requests of a rank must have waited lately, in all, for that mean to count: a first
-ask that found no room shows no shortage. In a large fleet a box hears of few that wait."""
+MIN_TOTAL_WAIT_S = 0.2
+"""Least recent wait of a rank, summed over its requests, for its mean wait to count. A first poll
+that found no room is no sign of a shortage. In a large fleet a box hears of few waiting requests.
+"""
 
 
-MOST_ROOM_RANKS = 4 * MOST_RANKS
-"""Ranks for room: two for each rank, by the share of the organisation, and again for late ones."""
+MAX_ROOM_RANKS = 4 * MAX_RANKS
+"""Number of room ranks: two per request rank, for organisations within and over their share, and
+the same again for late requests."""
 
-MOST_TOLD = 100_000.0
-"""Seconds waited, grants and waiting requests beyond which what a peer tells is ignored: a thousand
+MAX_REPORTED_VALUE = 100_000.0
+"""Largest waited seconds, grants or waiting requests that a box accepts from a peer. A thousand
 requests that wait at one box add up to 3,000 s."""
 
-FORGET_COUNTS = 0.01
-"""Seconds waited and grants under which a rank is told no longer: a configuration may have no such
-rank any more."""
+MIN_REPORTED_COUNT = 0.01
+"""Waited seconds and grants below which a rank is dropped from reports. A new configuration may not
+have the rank any more."""
 
 
-class OrderWay(StrEnum):
+class OrderMode(StrEnum):
     """How requests that wait for room are ordered.
 
-    ``paced``: the more urgent ask more often. ``entry``: beside that, others hold back while a
-    more urgent rank waits too long anywhere. ``auto`` is ``entry`` where the configuration gives
-    streams of a service different priorities.
+    ``paced``: more urgent ranks poll more often. ``entry``: in addition, less urgent requests hold
+    back while a more urgent rank waits too long at any box. ``unordered``: ranks are not used.
+    ``auto``: ``entry`` if the configuration gives the streams of a service different priorities,
+    else ``unordered``.
     """
 
     AUTO = "auto"
@@ -73,36 +78,36 @@
 
 
 @dataclass(kw_only=True)
-class RankedRoom:
-    """What the requests of one box waited for room at the engines of a service, by rank."""
+class RoomWaitsByRank:
+    """Waits for room at the engines of one service, by room rank, as seen by one box."""
 
     _history_by_rank: dict[int, RoomHistory] = field(default_factory=dict)
     _waiting_by_rank: Counter[int] = field(default_factory=Counter)
 
-    def begin(self, rank: int) -> None:
-        """A request begins to wait."""
+    def begin_wait(self, rank: int) -> None:
+        """Count a request that starts to wait."""
         self._waiting_by_rank[rank] += 1
 
-    def end(self, rank: int) -> None:
-        """A request waits no longer: it got room, was refused, or its caller left."""
+    def end_wait(self, rank: int) -> None:
+        """Stop counting a request that got room, was refused, or lost its caller."""
         self._waiting_by_rank[rank] -= 1
 
     def note_waited(self, rank: int, seconds: float, now: float) -> None:
-        """A request waited, and has no room yet."""
+        """Add the time that a request waited without finding room."""
         self._history(rank).note_waited(seconds, now)
 
     def note_granted(self, rank: int, now: float) -> None:
-        """A request that had waited got room."""
+        """Count a grant to a request that had waited."""
         self._history(rank).note_granted(now)
 
-    def waiting(self) -> dict[int, int]:
-        """Requests that wait at the moment, by rank."""
+    def waiting_by_rank(self) -> dict[int, int]:
+        """Return the number of requests that wait now, by rank."""
         return {rank: count for rank, count in self._waiting_by_rank.items() if count > 0}
 
     def notices(self, now: float) -> tuple[RankRoomNotice, ...]:
-        """What peers are told, the most urgent rank first; ranks that went quiet are forgotten."""
+        """Return the reports to peers, most urgent rank first, and drop inactive ranks."""
         for rank, counts in self._counts_by_rank(now).items():
-            is_quiet = max(counts.waited_s, counts.grants) < FORGET_COUNTS
+            is_quiet = max(counts.waited_s, counts.grants) < MIN_REPORTED_COUNT
             if is_quiet and self._waiting_by_rank[rank] <= 0:
                 del self._history_by_rank[rank], self._waiting_by_rank[rank]
         return tuple(
@@ -124,38 +129,38 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class RoomView:
-    """What one box knows of all who wait for room at the engines of a service.
+    """What one box knows of all requests that wait for room at the engines of a service.
 
-    ``told_at_by_rank`` is when the newest news came that requests of a rank wait.
+    ``reported_at_by_rank`` is the time of the latest report of waiting requests of a rank.
     """
 
     counts_by_rank: dict[int, RoomCounts]
     waiting_by_rank: dict[int, int]
-    told_at_by_rank: dict[int, float] = field(default_factory=dict)
+    reported_at_by_rank: dict[int, float] = field(default_factory=dict)
 
     @classmethod
     def of(
         cls,
         own: Iterable[RankRoomNotice],
-        heard: Iterable[tuple[RankRoomNotice, float]] = (),
+        from_peers: Iterable[tuple[RankRoomNotice, float]] = (),
         *,
         now: float = 0.0,
     ) -> RoomView:
-        """The view from what this box saw and what its peers told, each with when it was heard.
+        """Return the view from this box's own counts and the reports of its peers.
 
-        Figures that can't be are left out.
+        Each report of a peer comes with the time when it was received. Invalid values are ignored.
         """
         sums_by_rank: dict[int, list[float]] = {}
         waiting_by_rank: dict[int, int] = {}
-        told_at_by_rank: dict[int, float] = {}
-        for entry, told_at in [*((entry, now) for entry in own), *heard]:
-            rank, waited_s, grants = entry.rank, entry.waited_s, entry.grants
-            waiting = entry.waiting
+        reported_at_by_rank: dict[int, float] = {}
+        for notice, reported_at in [*((notice, now) for notice in own), *from_peers]:
+            rank, waited_s, grants = notice.rank, notice.waited_s, notice.grants
+            waiting = notice.waiting
             if not (
-                0 <= rank < MOST_ROOM_RANKS
-                and 0.0 <= waited_s <= MOST_TOLD
-                and 0.0 <= grants <= MOST_TOLD
-                and 0 <= waiting <= MOST_TOLD
+                0 <= rank < MAX_ROOM_RANKS
+                and 0.0 <= waited_s <= MAX_REPORTED_VALUE
+                and 0.0 <= grants <= MAX_REPORTED_VALUE
+                and 0 <= waiting <= MAX_REPORTED_VALUE
             ):
                 continue
             sums = sums_by_rank.setdefault(rank, [0.0, 0.0])
@@ -163,7 +168,9 @@
             sums[1] += grants
             waiting_by_rank[rank] = waiting_by_rank.get(rank, 0) + waiting
             if waiting > 0:
-                told_at_by_rank[rank] = max(told_at, told_at_by_rank.get(rank, told_at))
+                reported_at_by_rank[rank] = max(
+                    reported_at, reported_at_by_rank.get(rank, reported_at)
+                )
         counts_by_rank = {
             rank: RoomCounts(waited_s=waited_s, grants=grants)
             for rank, (waited_s, grants) in sums_by_rank.items()
@@ -171,11 +178,11 @@
         return cls(
             counts_by_rank=counts_by_rank,
             waiting_by_rank=waiting_by_rank,
-            told_at_by_rank=told_at_by_rank,
+            reported_at_by_rank=reported_at_by_rank,
         )
 
     def mean_wait_s(self, rank: int) -> float:
-        """How long a request of a rank waits for room on average, never less than urgent ones do.
+        """Return the mean wait of a rank for room, at least that of every more urgent rank.
 
         >>> view = RoomView(
         ...     counts_by_rank={0: RoomCounts(waited_s=1.7, grants=1.0), 1: RoomCounts(grants=9.0)},
@@ -189,68 +196,73 @@
         return max([own.mean_wait_s, *(c.mean_wait_s for c in urgent if c.waited_s > 0.0)])
 
     def entry_rank(self) -> int | None:
-        """The most urgent rank that waits, and too long: requests behind it hold back. None if all
-        wait but shortly.
+        """Return the most urgent rank that waits too long, or None if no rank does.
+
+        Requests of less urgent ranks hold back.
 
         >>> RoomView(counts_by_rank={2: RoomCounts(waited_s=4.0, grants=3.0)},
         ...          waiting_by_rank={2: 1}).entry_rank()
         2
         """
-        short = [
+        starved_ranks = [
             rank
             for rank, counts in self.counts_by_rank.items()
             if self.waiting_by_rank.get(rank, 0) > 0
-            and counts.waited_s >= MIN_WAITED_S
-            and counts.mean_wait_s > ENTRY_WAIT_S
+            and counts.waited_s >= MIN_TOTAL_WAIT_S
+            and counts.mean_wait_s > ENTRY_WAIT_THRESHOLD_S
         ]
-        return min(short, default=None)
+        return min(starved_ranks, default=None)
 
     def entry_age_s(self, now: float) -> float | None:
-        """Age in seconds of the newest news that the entry rank waits; None if there is none.
+        """Return the age in seconds of the latest report that the entry rank waits, or None.
 
         >>> notice = RankRoomNotice(rank=2, waited_s=4.0, grants=3.0, waiting=1)
         >>> RoomView.of([], [(notice, 7.5), (notice, 7.0)]).entry_age_s(8.0)
         0.5
         """
         entry = self.entry_rank()
-        if entry is None or entry not in self.told_at_by_rank:
+        if entry is None or entry not in self.reported_at_by_rank:
             return None
-        return max(0.0, now - self.told_at_by_rank[entry])
+        return max(0.0, now - self.reported_at_by_rank[entry])
 
-    def holds_back(self, rank: int, way: OrderWay) -> bool:
-        """Whether a request of a rank leaves room that comes free to more urgent ones."""
-        if way is not OrderWay.ENTRY:
+    def holds_back(self, rank: int, mode: OrderMode) -> bool:
+        """Return whether a request of a rank leaves free room to more urgent requests."""
+        if mode is not OrderMode.ENTRY:
             return False
         entry = self.entry_rank()
         return entry is not None and rank > entry
 
 
-def pause_s(rank: int, *, target_s: float = math.inf) -> float:
-    """Seconds until a request of a rank for room, with some target, asks again.
+def poll_interval_s(rank: int, *, target_s: float = math.inf) -> float:
+    """Return the seconds until a request of a room rank polls for room again.
 
-    >>> [round(pause_s(rank), 2) for rank in range(0, 8, 2)]
+    >>> [round(poll_interval_s(rank), 2) for rank in range(0, 8, 2)]
     [0.03, 0.09, 0.27, 0.5]
-    >>> round(pause_s(6, target_s=0.8), 2)
+    >>> round(poll_interval_s(6, target_s=0.8), 2)
     0.08
     """
-    longest_s = min(LONGEST_PAUSE_S, PAUSE_SHARE_OF_TARGET * target_s)
-    return max(FIRST_PAUSE_S, min(longest_s, FIRST_PAUSE_S * PAUSE_RATIO ** (rank / 2)))
+    longest_s = min(MAX_POLL_INTERVAL_S, MAX_POLL_INTERVAL_TARGET_SHARE * target_s)
+    return max(
+        BASE_POLL_INTERVAL_S,
+        min(longest_s, BASE_POLL_INTERVAL_S * POLL_INTERVAL_RATIO ** (rank / 2)),
+    )
 
 
 def room_rank(rank: int, *, ranks: int, is_late: bool, is_over_share: bool = False) -> int:
-    """The rank for room: two for each rank of a request, the second for those over their share.
+    """Return the room rank of a request: two per request rank, the second if over its share.
 
-    Late requests go behind all others, as a late answer is worth a fraction. An excess goes behind
-    no more than its own rank: while room is short most large organisations are over an equal share,
-    and the urgent requests of most callers would else go last.
+    Late requests go behind all others, as a late answer is worth only a fraction of one in time. A
+    request of an organisation over its share goes behind its own rank only. While room is short,
+    most large organisations are over an equal share, and the urgent requests of most callers would
+    otherwise go last.
 
-    It is held to ``MOST_ROOM_RANKS``: a request that comes while the configuration ends the order
-    has its priority as rank, which may be any number.
+    The result is below ``MAX_ROOM_RANKS``. A request that arrives while a new configuration ends
+    the order has its priority as rank, which may be any number.
 
     >>> room_rank(0, ranks=3, is_late=True) > room_rank(2, ranks=3, is_late=False)
     True
     >>> room_rank(1, ranks=3, is_late=False, is_over_share=True)
     3
     """
-    found = 2 * (rank + (ranks if is_late else 0)) + is_over_share
-    return max(0, min(found, MOST_ROOM_RANKS - 1))
+    room_rank_value = 2 * (rank + (ranks if is_late else 0)) + is_over_share
+    return max(0, min(room_rank_value, MAX_ROOM_RANKS - 1))
--- a/tests/systems/room_run.py
+++ b/tests/systems/room_harness.py
@@ -1,6 +1,6 @@
-"""One request that waits for decode memory at a box, in virtual time and without a network.
+"""Harness for one request that waits for decode memory at a box, in virtual time.
 
-The workers' answers are a script: what each ask for room finds. Everything else is the box's own.
+There is no network: a script gives the result of each poll for room. The rest is the router's code.
 """
 
 import asyncio
@@ -14,7 +14,7 @@
 from croftchute.forwarding.workers.decode_room import DecodeRoom
 from croftchute.forwarding.workers.request_run import RequestRun
 from croftchute.router_settings import DecisionWays, RouterSettings
-from croftchute.systems.room_order import OrderWay
+from croftchute.systems.room_order import OrderMode
 from croftchute.tables.organisations import Organisation, Organisations, UsageLimit
 from croftchute.tables.routing import (
     EngineTraits,
@@ -27,11 +27,11 @@
     by_host,
 )
 
-FULL, NO_WORKER, FOUND = "full", "no worker", "found"
+FULL, NO_WORKER, GRANTED = "full", "no worker", "granted"
 
 
-class Connection:
-    """The caller's side: keeps what was answered."""
+class FakeConnection:
+    """Caller's side of a connection; records the bytes sent."""
 
     is_lost = False
     is_held_up = False
@@ -60,8 +60,8 @@
         self.is_lost = True
 
 
-class Log:
-    """Keeps the lines."""
+class RecordingLog:
+    """Decision log that records its lines."""
 
     def __init__(self):
         self.lines = []
@@ -105,10 +105,12 @@
     return Organisation(name=name, priority=priority, limit=usage)
 
 
-class Bench:
-    """A box whose clock moves only while a request waits."""
+class RoomHarness:
+    """A box whose clock advances only while a request waits."""
 
-    def __init__(self, monkeypatch, *, priorities=(0, 1, 2), order=OrderWay.AUTO, organisations=()):
+    def __init__(
+        self, monkeypatch, *, priorities=(0, 1, 2), order=OrderMode.AUTO, organisations=()
+    ):
         self.now = 100.0
         self.sleeps = []
         settings = RouterSettings(
@@ -126,7 +128,7 @@
         self.state.clock = lambda: self.now
         self.state.started_at = self.state.begun_at = self.now
         self.state.rng = random.Random(1)
-        self.state.log = self.log = Log()
+        self.state.log = self.log = RecordingLog()
         self.state.table = table(priorities, organisations=organisations)
         self.on_sleep = lambda: None
         monkeypatch.setattr(asyncio, "sleep", self._sleep)
@@ -137,7 +139,7 @@
         self.on_sleep()
 
     def request(self, priority, *, organisation=None, deadline_s=None, prompt=5_000):
-        connection = Connection()
+        connection = FakeConnection()
         incoming = IncomingRequest(
             method="POST",
             target="/x",
@@ -175,20 +177,20 @@
         return run
 
     def reserve(self, run, script, *, room=None):
-        """Wait for room; the last entry of the script goes on for ever."""
+        """Wait for room; the last result of the script repeats."""
         room = room or ScriptedRoom(run=run)
         room.script = list(script)
         found = asyncio.run(room.reserve())
         return room, found
 
     def refuse(self, run, room):
-        """Refuse as a stream does that found no room; returns the answer's bytes."""
+        """Refuse the request like a stream that found no room, and return the bytes sent."""
         run.refuse(room.code or Code.NO_UPSTREAM, Ran.NOT_RUN, room.detail)
         return run.connection.sent
 
 
 class ScriptedRoom(DecodeRoom):
-    """Asks no worker: a script says what each ask finds."""
+    """DecodeRoom that polls no worker: a script gives the result of each poll."""
 
     asks = 0
     has_worker = True
@@ -199,7 +201,7 @@
     async def _ask_for_room(self):
         self.asks += 1
         outcome = self.script.pop(0) if len(self.script) > 1 else self.script[0]
-        if outcome == FOUND:
+        if outcome == GRANTED:
             return object(), object()
         if outcome == FULL:
             self.run.full.add("w")
--- a/tests/systems/test_plain_queue.py
+++ b/tests/systems/test_plain_queue.py
@@ -1,4 +1,4 @@
-"""Few workers before many boxes: calls go where they end soonest, and not into a queue in vain."""
+"""Few workers that serve many boxes: calls go where they end soonest, or are refused at once."""
 
 import heapq
 import random
@@ -6,21 +6,21 @@
 import pytest
 
 from croftchute.systems.plain_queue import (
-    BUSY_FOR_S,
+    BUSY_WINDOW_S,
+    MeanWorkTime,
     QueueLoad,
-    WorkTime,
+    choose_worker,
     is_busy,
-    place,
 )
 from croftchute.systems.worker_belief import WorkerBelief
 from croftchute.tables.routing import Worker
 
-SLOTS, QUEUE = 6, 24
-TARGET_S, WORK_S, WAY_S = 0.41, 0.09, 0.002
+SLOTS, MAX_WAITING = 6, 24
+TARGET_S, WORK_S, ROUND_TRIP_S = 0.41, 0.09, 0.002
 
 
-class Workers:
-    """Three workers of six slots that serve in the order of arrival and shed beyond 24 waiting."""
+class SimulatedWorkers:
+    """Three workers of six slots that serve in arrival order and reject calls beyond 24 waiting."""
 
     def __init__(self, seed):
         self.rng = random.Random(seed)
@@ -35,9 +35,9 @@
         )
 
     def send(self, number, now):
-        """When the call ends; None if it is shed."""
+        """Return when the call ends, or None if it is rejected."""
         load = self.load(number, now)
-        if load.waiting >= QUEUE:
+        if load.waiting >= MAX_WAITING:
             self.shed += 1
             return None
         begin = max(now, heapq.heappop(self.free_at[number]))
@@ -47,18 +47,18 @@
         return end
 
 
-def play(rate, *, probes, seed=1, until=10.0):
-    """Shares of the calls that ended in time, were refused, and were shed."""
-    workers, rng = Workers(seed), random.Random(seed)
+def simulate(rate, *, has_probes, seed=1, until=10.0):
+    """Return the shares of calls that ended in time, were refused, and were rejected by workers."""
+    workers, rng = SimulatedWorkers(seed), random.Random(seed)
     now, in_time, refused, total = 0.0, 0, 0, 0
     while (now := now + rng.expovariate(rate)) < until:
         total += 1
-        if probes:
-            loads = {str(n): workers.load(n, now - WAY_S) for n in range(3)}
-            chosen = place(
+        if has_probes:
+            loads = {str(n): workers.load(n, now - ROUND_TRIP_S) for n in range(3)}
+            chosen = choose_worker(
                 loads,
                 work_s=WORK_S,
-                target_left_s=TARGET_S - WAY_S,
+                target_left_s=TARGET_S - ROUND_TRIP_S,
                 time_left_s=4.0,
                 is_last_try=False,
             )
@@ -74,48 +74,48 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_at_the_full_rate_of_the_service_calls_are_in_time_and_none_is_shed(seed):
-    """The fault: one of three workers queued for a second while the two others had free slots."""
-    in_time, refused, shed = play(3 * SLOTS / WORK_S, probes=True, seed=seed)
+def test_calls_at_the_full_rate_of_the_service_are_in_time(seed):
+    """One of three workers used to queue for a second while the other two had free slots."""
+    in_time, refused, shed = simulate(3 * SLOTS / WORK_S, has_probes=True, seed=seed)
     assert in_time >= 0.95
     assert shed < 0.01
-    assert play(3 * SLOTS / WORK_S, probes=False, seed=seed)[0] < 0.95
+    assert simulate(3 * SLOTS / WORK_S, has_probes=False, seed=seed)[0] < 0.95
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_at_twice_the_rate_what_is_let_in_is_in_time(seed):
-    """The fault: all waited in full queues, so that nearly all were late."""
-    in_time, refused, shed = play(2 * 3 * SLOTS / WORK_S, probes=True, seed=seed)
+def test_admitted_calls_at_twice_the_rate_are_in_time(seed):
+    """All calls used to wait in full queues, so that nearly all were late."""
+    in_time, refused, shed = simulate(2 * 3 * SLOTS / WORK_S, has_probes=True, seed=seed)
     assert shed < 0.01
     assert in_time / (1.0 - refused) >= 0.95
-    assert in_time > 2 * play(2 * 3 * SLOTS / WORK_S, probes=False, seed=seed)[0]
+    assert in_time > 2 * simulate(2 * 3 * SLOTS / WORK_S, has_probes=False, seed=seed)[0]
 
 
-def test_a_slow_worker_gets_calls_only_where_they_still_end_soonest():
+def test_a_slow_worker_gets_a_call_only_if_it_still_ends_soonest():
     loads = {
         "slow": QueueLoad(running=1, waiting=0, slots=6, pace=2.5),
         "queued": QueueLoad(running=6, waiting=2, slots=6),
     }
-    found = place(loads, work_s=0.1, target_left_s=0.4, time_left_s=1.0, is_last_try=False)
+    found = choose_worker(loads, work_s=0.1, target_left_s=0.4, time_left_s=1.0, is_last_try=False)
     assert found.worker_id == "queued"
 
 
-def test_a_caller_that_can_not_come_again_is_let_in_while_it_waits():
+def test_a_caller_that_cannot_come_again_is_admitted_while_it_waits():
     loads = {"a": QueueLoad(running=6, waiting=24, slots=6)}
     late = {"work_s": 0.1, "target_left_s": 0.0, "is_last_try": True}
-    assert not place(loads, time_left_s=1.0, **late).is_refused
-    assert place(loads, time_left_s=0.3, **late).is_refused
+    assert not choose_worker(loads, time_left_s=1.0, **late).is_refused
+    assert choose_worker(loads, time_left_s=0.3, **late).is_refused
 
 
-def test_without_news_or_a_known_working_time_nothing_is_decided():
+def test_without_a_load_or_a_working_time_there_is_no_choice():
     options = {"target_left_s": 0.4, "time_left_s": 4.0, "is_last_try": False}
-    assert place({}, work_s=0.1, **options) is None
+    assert choose_worker({}, work_s=0.1, **options) is None
     loads = {"a": QueueLoad(running=1, waiting=0, slots=6)}
-    assert place(loads, work_s=0.0, **options) is None
+    assert choose_worker(loads, work_s=0.0, **options) is None
 
 
-def test_the_working_time_leaves_out_answers_beside_a_queue():
-    time = WorkTime()
+def test_the_mean_working_time_ignores_answers_from_a_queue():
+    time = MeanWorkTime()
     time.note(0.09, waiting=0)
     time.note(2.0, waiting=9)
     assert time.usual_s == 0.09
@@ -129,6 +129,6 @@
 def test_a_service_is_busy_for_a_while_after_a_queue_or_a_rejection():
     assert not is_busy([belief()], now=5.0)
     assert not is_busy([belief(load_running=6, load_at=5.0)], now=5.0)
-    assert is_busy([belief(load_waiting=1, load_at=5.0)], now=5.0 + BUSY_FOR_S)
-    assert not is_busy([belief(load_waiting=1, load_at=5.0)], now=5.1 + BUSY_FOR_S)
+    assert is_busy([belief(load_waiting=1, load_at=5.0)], now=5.0 + BUSY_WINDOW_S)
+    assert not is_busy([belief(load_waiting=1, load_at=5.0)], now=5.1 + BUSY_WINDOW_S)
     assert is_busy([belief(), belief(rejected_at=5.0)], now=5.5)
--- a/tests/systems/test_size_lanes.py
+++ b/tests/systems/test_size_lanes.py
@@ -1,16 +1,16 @@
 """Room for large requests among many small ones, in a burst.
 
-The load answers what was seen at a service of 70 engines of 26,000 tokens: prompts of 1,500 to
-25,000 tokens, a mean of 9,000, streams of three seconds, requests that ask all engines every tenth
-of a second until their target is over. Requests of over half an engine were served in 4 of 100
-tries there, small ones in 90.
+The load follows what was observed at a service of 70 engines of 26,000 tokens: prompts of 1,500 to
+25,000 tokens with a mean of 9,000, streams of three seconds, and requests that poll all engines
+every tenth of a second until their target has passed. There, requests over half an engine were
+served in 4 of 100 tries, small ones in 90 of 100.
 """
 
 import random
 
 import pytest
 
-from croftchute.systems.size_lanes import by_lane, is_large, lane_share
+from croftchute.systems.size_lanes import is_large, lane_candidates, lane_share
 from croftchute.systems.stage_balance import DemandCounts, StageDemand
 from croftchute.systems.worker_table import WorkerTable
 from croftchute.tables.routing import Stage, Worker
@@ -32,7 +32,7 @@
 
 
 def served_shares(rng, rate, *, has_lanes):
-    """Shares of large and of all requests that found room."""
+    """Return the shares of large and of all requests that found room."""
     beliefs = engines()
     free = {belief.worker.id: KV_TOKENS for belief in beliefs}
     demand = StageDemand()
@@ -56,7 +56,9 @@
         for until, tokens in waiting:
             large = is_large(tokens, KV_TOKENS)
             full = {engine for engine, room in free.items() if room < tokens}
-            places = by_lane(beliefs, is_large_request=large, share=share, passed_over=full)
+            places = lane_candidates(
+                beliefs, is_large_request=large, share=share, rejected_ids=full
+            )
             fits = [b.worker.id for b in places if free[b.worker.id] >= tokens]
             if fits:
                 engine = rng.choice(fits)
@@ -73,7 +75,7 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_large_requests_are_served_half_as_often_as_all_where_blind_sharing_starves_them(seed):
+def test_a_lane_serves_large_requests_that_starve_without_one(seed):
     rate = 32.0
     blind_large, blind_all = served_shares(random.Random(seed), rate, has_lanes=False)
     assert blind_large < 0.4 * blind_all
@@ -82,8 +84,8 @@
     assert lane_all > 0.8 * blind_all
 
 
-def test_where_there_is_room_for_most_lanes_cost_next_to_nothing():
-    """By the mean of six seeds: single ones differ by up to 0.09 either way."""
+def test_a_lane_costs_almost_nothing_while_there_is_room_for_most_requests():
+    """Compares the means of six seeds, since single seeds differ by up to 0.09 either way."""
     seeds = range(1, 7)
     blind = [served_shares(random.Random(seed), 16.0, has_lanes=False) for seed in seeds]
     lanes = [served_shares(random.Random(seed), 16.0, has_lanes=True) for seed in seeds]
@@ -98,32 +100,38 @@
     counts = DemandCounts(asks=50, prompt_tokens=50 * 3000, granted=20)
     assert lane_share(counts, KV_TOKENS) == 0.0
     beliefs = engines()
-    assert by_lane(beliefs, is_large_request=False, share=0.0, passed_over=()) == beliefs
+    assert lane_candidates(beliefs, is_large_request=False, share=0.0, rejected_ids=()) == beliefs
 
 
-def test_all_boxes_keep_the_same_engines_for_the_lane():
+def test_all_boxes_choose_the_same_engines_for_the_lane():
     beliefs = engines()
     other_order = list(reversed(beliefs))
     lanes = [
-        {b.worker.id for b in by_lane(order, is_large_request=True, share=0.25, passed_over=())}
+        {
+            b.worker.id
+            for b in lane_candidates(order, is_large_request=True, share=0.25, rejected_ids=())
+        }
         for order in (beliefs, other_order)
     ]
     assert lanes[0] == lanes[1]
     assert len(lanes[0]) == 5
-    rest = by_lane(beliefs, is_large_request=False, share=0.25, passed_over=())
+    rest = lane_candidates(beliefs, is_large_request=False, share=0.25, rejected_ids=())
     assert not lanes[0] & {b.worker.id for b in rest}
 
 
-def test_a_large_request_may_have_the_rest_once_the_lane_is_full():
+def test_a_large_request_may_use_the_rest_once_the_lane_is_full():
     beliefs = engines()
-    lane = by_lane(beliefs, is_large_request=True, share=0.25, passed_over=())
+    lane = lane_candidates(beliefs, is_large_request=True, share=0.25, rejected_ids=())
     full = {b.worker.id for b in lane}
-    more = by_lane(beliefs, is_large_request=True, share=0.25, passed_over=full)
+    more = lane_candidates(beliefs, is_large_request=True, share=0.25, rejected_ids=full)
     assert len(more) == 15
 
 
 @pytest.mark.parametrize("number", [1, 2])
-def test_a_service_too_small_for_a_lane_is_left_whole(number):
+def test_a_service_too_small_for_a_lane_is_not_divided(number):
     beliefs = engines(number)
     for large in (True, False):
-        assert len(by_lane(beliefs, is_large_request=large, share=0.2, passed_over=())) == number
+        assert (
+            len(lane_candidates(beliefs, is_large_request=large, share=0.2, rejected_ids=()))
+            == number
+        )
--- a/tests/systems/test_unordered_room.py
+++ b/tests/systems/test_unordered_room.py
@@ -1,38 +1,40 @@
-"""Off by default: without an order by rank, requests wait for room as before there was one."""
+"""Without an order by rank, which is the default, requests wait for room as before it existed."""
 
 import asyncio
 
 import pytest
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
-from room_run import FOUND, FULL, NO_WORKER, Bench, ScriptedRoom, organisation
+from room_harness import FULL, GRANTED, NO_WORKER, RoomHarness, ScriptedRoom, organisation
 
 from croftchute.errors import Code, Ran
 from croftchute.forwarding.decision_log import Decision
 from croftchute.forwarding.workers.room_report import order_facts
-from croftchute.systems import patience
-from croftchute.systems.patience import ReturnWay
+from croftchute.systems import timeouts
 from croftchute.systems.room_forecast import RoomWait
-from croftchute.systems.room_order import OrderWay
+from croftchute.systems.room_order import OrderMode
+from croftchute.systems.timeouts import ReturnMode
 
-UNORDERED = {"priorities": (0, 1, 2), "order": OrderWay.UNORDERED}
-ONE_PRIORITY = {"priorities": (2,), "order": OrderWay.AUTO}
-either = pytest.mark.parametrize("ways", [UNORDERED, ONE_PRIORITY], ids=["unordered", "one"])
+UNORDERED = {"priorities": (0, 1, 2), "order": OrderMode.UNORDERED}
+ONE_PRIORITY = {"priorities": (2,), "order": OrderMode.AUTO}
+each_unordered_mode = pytest.mark.parametrize(
+    "options", [UNORDERED, ONE_PRIORITY], ids=["unordered", "one"]
+)
 
-scripts = st.lists(st.sampled_from([FULL, FULL, FULL, NO_WORKER, FOUND]), min_size=1, max_size=12)
+scripts = st.lists(st.sampled_from([FULL, FULL, FULL, NO_WORKER, GRANTED]), min_size=1, max_size=12)
 waits = st.sampled_from([0.0, 0.2, 0.6, 3.0, 30.0])
 
 
-class RoomBefore(ScriptedRoom):
-    """Waits as the code did before there was an order; kept here to compare with."""
+class ReferenceRoom(ScriptedRoom):
+    """The wait for room from before there was an order, kept for comparison."""
 
     async def reserve(self):
         run = self.run
         self.code = None
         self.detail = ""
         is_begun = run.exchange.is_started
-        pause_s = patience.room_poll(
-            run.route, run.state.ways.returns, before_s=run.before_s, is_begun=is_begun
+        pause_s = timeouts.room_poll_interval_s(
+            run.route, run.state.ways.returns, since_first_try_s=run.before_s, is_begun=is_begun
         )
         asked_at = run.now
         has_waited = False
@@ -55,7 +57,7 @@
     def _may_wait(self, asked_at, *, is_begun):
         run = self.run
         if is_begun:
-            return run.now - asked_at < min(patience.RESUME_WAIT_S, run.time_left_s)
+            return run.now - asked_at < min(timeouts.RESUME_WAIT_S, run.time_left_s)
         if run.state.is_ending(run.now):
             return False
         mean_wait_s = run.state.mean_room_wait_s(run.service)
@@ -64,7 +66,9 @@
             elapsed_s=run.now - run.started_at,
             time_left_s=run.time_left_s,
             reading_s=pace.reading_s(run.facts.prompt_tokens),
-            before_s=run.before_s if run.state.ways.returns is ReturnWay.IN_TIME_FIRST else 0.0,
+            since_first_try_s=(
+                run.before_s if run.state.ways.returns is ReturnMode.IN_TIME_FIRST else 0.0
+            ),
         )
         if wait.is_worthwhile(run.route, mean_wait_s=mean_wait_s):
             return True
@@ -78,102 +82,105 @@
         return False
 
 
-def refuse_before(run, room):
-    """Refuse with the Retry-After that was sent before there was an order."""
+def reference_refusal(run, room):
+    """Return the code and Retry-After of a refusal from before there was an order."""
     code = room.code or Code.NO_UPSTREAM
     mean_wait_s = run.state.mean_room_wait_s(run.service) if run.full else None
-    retry_after_s = patience.retry_after(
-        run.time_left_s, mean_wait_s=mean_wait_s, spread=run.state.rng.random()
+    retry_after_s = timeouts.retry_after(
+        run.time_left_s, mean_wait_s=mean_wait_s, jitter=run.state.rng.random()
     )
     return code, retry_after_s
 
 
-def outcome(bench, run, room, found):
+def outcome(harness, run, room, found):
     return {
         "found": found is not None,
         "asks": room.asks,
-        "sleeps": bench.sleeps,
-        "at": bench.now,
+        "sleeps": harness.sleeps,
+        "at": harness.now,
         "lines": [
             (kind, fields)
-            for kind, fields in bench.log.lines
+            for kind, fields in harness.log.lines
             if kind is not Decision.REQUEST_REFUSED
         ],
         "code": room.code,
         "detail": room.detail,
-        "history": bench.state.room("llm").counts(bench.now),
-        "granted": bench.state.demand("llm").counts(bench.now).granted,
+        "history": harness.state.room("llm").counts(harness.now),
+        "granted": harness.state.demand("llm").counts(harness.now).granted,
     }
 
 
-@either
+@each_unordered_mode
 @settings(
     suppress_health_check=[HealthCheck.function_scoped_fixture], max_examples=60, deadline=None
 )
-@given(script=scripts, waited=waits, begun=st.booleans(), deadline_s=st.sampled_from([1.0, 8.0]))
-def test_requests_wait_are_logged_and_refused_as_before(
-    monkeypatch, ways, script, waited, begun, deadline_s
+@given(
+    script=scripts, waited_s=waits, is_started=st.booleans(), deadline_s=st.sampled_from([1.0, 8.0])
+)
+def test_waits_logs_and_refusals_match_the_reference(
+    monkeypatch, options, script, waited_s, is_started, deadline_s
 ):
-    """Guards against a deployment without an order whose outcomes change by an upgrade.
+    """Guards against an upgrade that changes the results of a deployment without an order.
 
-    The same script of answers is played to the loop of before and to that of today.
+    Runs the same script of poll results through the reference loop and the current one.
     """
     script = [*script, FULL]
     results = []
-    for room_kind in (RoomBefore, ScriptedRoom):
+    for room_class in (ReferenceRoom, ScriptedRoom):
         with monkeypatch.context() as patch:
-            bench = Bench(patch, organisations=[organisation("o", priority=3)], **ways)
-            bench.state.room("llm").note_waited(waited, bench.now)
-            run = bench.request(2, organisation="o", deadline_s=deadline_s)
-            run.exchange.is_started = begun
-            room, found = bench.reserve(run, script, room=room_kind(run=run))
-            result = outcome(bench, run, room, found)
-            if found is None and not begun:
-                if room_kind is RoomBefore:
-                    result["refusal"] = refuse_before(run, room)
+            harness = RoomHarness(patch, organisations=[organisation("o", priority=3)], **options)
+            harness.state.room("llm").note_waited(waited_s, harness.now)
+            run = harness.request(2, organisation="o", deadline_s=deadline_s)
+            run.exchange.is_started = is_started
+            room, found = harness.reserve(run, script, room=room_class(run=run))
+            result = outcome(harness, run, room, found)
+            if found is None and not is_started:
+                if room_class is ReferenceRoom:
+                    result["refusal"] = reference_refusal(run, room)
                 else:
-                    bench.refuse(run, room)
-                    kind, fields = bench.log.lines[-1]
+                    harness.refuse(run, room)
+                    kind, fields = harness.log.lines[-1]
                     assert kind is Decision.REQUEST_REFUSED
                     result["refusal"] = Code(fields["outcome"]), fields["retry_after_s"]
             results.append(result)
     assert results[0] == results[1]
 
 
-@either
-def test_nothing_of_an_order_is_kept_logged_or_told(monkeypatch, ways):
-    """Guards against notices and lines that grow where no order is in force."""
-    bench = Bench(monkeypatch, organisations=[organisation("o", rate_per_s=5.0)], **ways)
-    run = bench.request(2, organisation="o")
-    room, found = bench.reserve(run, [FULL, FULL, FOUND])
+@each_unordered_mode
+def test_no_state_of_an_order_is_kept_logged_or_reported(monkeypatch, options):
+    """Guards against notices and log lines that grow although no order is in force."""
+    harness = RoomHarness(monkeypatch, organisations=[organisation("o", rate_per_s=5.0)], **options)
+    run = harness.request(2, organisation="o")
+    room, found = harness.reserve(run, [FULL, FULL, GRANTED])
     assert found is not None and not run.held_back
-    state = bench.state
+    state = harness.state
     assert state.ranked_room_by_service == {} and state.use_by_service == {}
     assert order_facts(run) == {}
 
 
-@either
-def test_engines_get_the_priority_of_before(monkeypatch, ways):
-    """Guards against ranks in the place of priorities at engines and permits: the organisation's
-    priority if it has one, else the route's."""
-    bench = Bench(
-        monkeypatch, organisations=[organisation("o", priority=7), organisation("p")], **ways
+@each_unordered_mode
+def test_engines_get_priorities_instead_of_ranks(monkeypatch, options):
+    """Guards against ranks in place of priorities at engines and permits. The priority is that of
+    the organisation if it has one, else that of the route.
+    """
+    harness = RoomHarness(
+        monkeypatch, organisations=[organisation("o", priority=7), organisation("p")], **options
     )
-    assert bench.request(2, organisation="o").rank == 7
-    assert bench.request(2, organisation="p").rank == 2
-    assert bench.request(2).rank == 2
-
-
-@either
-def test_the_refusal_of_a_full_service_is_the_same(monkeypatch, ways):
-    """Guards against another status, code or header of the answer itself."""
-    bench = Bench(monkeypatch, **ways)
-    bench.state.room("llm").note_waited(50.0, bench.now)
-    run = bench.request(2, deadline_s=8.0)
-    room, found = bench.reserve(run, [FULL])
+    assert harness.request(2, organisation="o").rank == 7
+    assert harness.request(2, organisation="p").rank == 2
+    assert harness.request(2).rank == 2
+
+
+@each_unordered_mode
+def test_the_refusal_by_a_full_service_is_unchanged(monkeypatch, options):
+    """Guards against another status, code or header in the response."""
+    harness = RoomHarness(monkeypatch, **options)
+    harness.state.room("llm").note_waited(50.0, harness.now)
+    run = harness.request(2, deadline_s=8.0)
+    room, found = harness.reserve(run, [FULL])
     assert found is None
     run.refuse(room.code, Ran.NOT_RUN, room.detail)
     head = run.connection.sent
     assert head.startswith(b"HTTP/1.1 503") and b'"no_capacity"' in head
-    # 0.32 of the time left, less a tenth at most.
+    # The limit is 0.32 of the remaining 8 s, less up to 10% of jitter.
     assert 2.304 <= float(head.split(b"retry-after: ")[1].split(b"\r\n")[0]) <= 2.56
