--- a/src/croftchute/forwarding/state.py
+++ b/src/croftchute/forwarding/state.py
@@ -25,7 +25,7 @@
 from croftchute.systems.peer_table import PeerTable
 from croftchute.systems.plain_queue import WorkTimes
 from croftchute.systems.predicted_end import UsualTimes
-from croftchute.systems.prefill_pace import PrefillPace, fit_pace
+from croftchute.systems.prefill_timing import PrefillTiming, fit_prefill_timing
 from croftchute.systems.request_rank import RequestRanks
 from croftchute.systems.retry_budget import RetryLimits, RetryWindow
 from croftchute.systems.room_forecast import RoomHistory
@@ -91,7 +91,7 @@
 class _KnownPace:
     """A pace, and when it was worked out."""
 
-    pace: PrefillPace
+    pace: PrefillTiming
     at: float
 
 
@@ -204,14 +204,14 @@
         now = self.clock()
         return (self.room(service).counts(now) + self.peers.room(service, now)).mean_wait_s
 
-    def prefill_pace(self, service: str) -> PrefillPace:
+    def prefill_pace(self, service: str) -> PrefillTiming:
         """How quickly the prefill workers of a service read, by the latest calls of all boxes."""
         now = self.clock()
         known = self._pace_by_service.get(service)
         if known is not None and now - known.at < PACE_KEPT_S:
             return known.pace
         samples = [*self.demand(service).prefills, *self.peers.prefills(service, now)]
-        found = fit_pace(samples) if samples or known is None else known.pace
+        found = fit_prefill_timing(samples) if samples or known is None else known.pace
         self._pace_by_service[service] = _KnownPace(pace=found, at=now)
         return found
 
@@ -219,8 +219,8 @@
         """How long a prompt would wait at a prefill worker, by this box's own calls."""
         if belief.worker.stage is not Stage.PREFILL:
             return 0.0
-        pace = self.prefill_pace(belief.worker.service)
-        return belief.queue.wait_s(pace=pace, now=self.clock())
+        timing = self.prefill_pace(belief.worker.service)
+        return belief.queue.wait_s(timing=timing, now=self.clock())
 
     def prefill_wait_s(self, belief: WorkerBelief) -> float:
         """The same by what all boxes know."""
--- a/src/croftchute/forwarding/workers/end_choice.py
+++ b/src/croftchute/forwarding/workers/end_choice.py
@@ -139,12 +139,12 @@
         state, now, around, pace = self.state, self.state.clock(), self.around, self._pace(belief)
         if self.stage is Stage.PREFILL:
             tokens = self.request.facts.prompt_tokens
-            reading = state.prefill_pace(self.service)
+            timing = state.prefill_pace(self.service)
             return predicted_end.prefill_end(
                 belief,
                 prompt_tokens=tokens,
-                usual=replace(usual, prompt_s=usual.prompt_s or reading.reading_s(tokens)),
-                reading=reading,
+                usual=replace(usual, prompt_s=usual.prompt_s or timing.prefill_s(tokens)),
+                timing=timing,
                 told_wait_s=state.peers.prefill_wait_s(belief.worker.id, now),
                 around=around,
                 pace=pace,
@@ -169,9 +169,9 @@
 ) -> ReadingTimes:
     """Until when a prompt is read ahead by the worker of an end, or by its decode worker."""
     service = decode.worker.service
-    reading = state.prefill_pace(service)
+    timing = state.prefill_pace(service)
     pace = state.paces.estimate(decode.worker.id, WorkKind.TOKEN, state.clock())
-    own_s = reading.fixed_s + prompt_tokens / reading.pace / OWN_READING_PACE
+    own_s = timing.overhead_s + prompt_tokens / timing.tokens_per_s / OWN_READING_PACE
     return ReadingTimes(
         wait_s=end.wait_s + end.overdue_s, ahead_s=end.served_s, own_s=own_s * pace.factor
     )
@@ -191,9 +191,9 @@
     beliefs = state.workers.of_service(service)
     pauses = sorted(belief.pause_s for belief in beliefs if belief.pause_s > 0.0)
     counts = state.fleet_demand(service)
-    reading = state.prefill_pace(service)
+    timing = state.prefill_pace(service)
     mean_tokens = counts.prompt_tokens / counts.asks if counts.asks else 0.0
-    prompt_s = reading.reading_s(math.ceil(mean_tokens)) if mean_tokens > 0.0 else 0.0
+    prompt_s = timing.prefill_s(math.ceil(mean_tokens)) if mean_tokens > 0.0 else 0.0
     full_prompts = patience.PREFILL_FULL_TOKENS / mean_tokens if mean_tokens > 0.0 else 0.0
     return UsualTimes(
         answer_s=usual_answer_s([belief for belief in beliefs if belief.worker.stage is None]),
--- a/src/croftchute/forwarding/workers/load_reader.py
+++ b/src/croftchute/forwarding/workers/load_reader.py
@@ -48,7 +48,7 @@
 
 def note_reading_pace(state: ForwardingState, worker: Worker, tokens: int, seconds: float) -> None:
     """A prefill worker read a prompt in some seconds, waits left out."""
-    usual_s = state.prefill_pace(worker.service).reading_s(tokens)
+    usual_s = state.prefill_pace(worker.service).prefill_s(tokens)
     if usual_s > 0.0:
         state.paces.note_seen(worker.id, WorkKind.READING, seconds / usual_s, state.clock())
 
--- a/src/croftchute/forwarding/workers/prompt_reader.py
+++ b/src/croftchute/forwarding/workers/prompt_reader.py
@@ -113,7 +113,7 @@
             return reading_times(chosen.end, decode, state=run.state, prompt_tokens=tokens)
         return ReadingTimes.predict(
             prompt_tokens=tokens,
-            pace=run.state.prefill_pace(run.service),
+            timing=run.state.prefill_pace(run.service),
             wait_s=run.state.prefill_wait_s(prefill),
         )
 
@@ -184,8 +184,8 @@
         # The fitted pace is that of an engine of the usual speed.
         usual_s = working_s / end.pace if end is not None else working_s
         run.state.demand(run.service).note_prefill(run.facts.prompt_tokens, usual_s)
-        pace = run.state.prefill_pace(run.service)
-        call.belief.queue.answered(run.facts.id, pace=pace, now=run.now)
+        timing = run.state.prefill_pace(run.service)
+        call.belief.queue.answered(run.facts.id, timing=timing, now=run.now)
         note_reading_pace(run.state, call.worker, run.facts.prompt_tokens, working_s)
         self.unused = handle
         if run.engine is not None:
--- a/src/croftchute/forwarding/workers/request_run.py
+++ b/src/croftchute/forwarding/workers/request_run.py
@@ -151,7 +151,7 @@
     @property
     def in_time_left_s(self) -> float:
         """Seconds until an answer would be late that begins with the reading of the prompt."""
-        reading_s = self.state.prefill_pace(self.service).reading_s(self.facts.prompt_tokens)
+        reading_s = self.state.prefill_pace(self.service).prefill_s(self.facts.prompt_tokens)
         elapsed_s = self.before_s + self.now - self.started_at
         return self.route.target_s - elapsed_s - reading_s
 
--- a/src/croftchute/forwarding/workers/stage_orders.py
+++ b/src/croftchute/forwarding/workers/stage_orders.py
@@ -157,7 +157,7 @@
         """The changes that one service needs at the moment."""
         beliefs = self._staying(service.name)
         counts = self.state.fleet_demand(service.name)
-        pace = self.state.prefill_pace(service.name)
+        timing = self.state.prefill_pace(service.name)
         ordered = self._ordered() | self._resting(beliefs)
         if self.split_way(service.name) is SplitWay.HEADROOM:
             now = self.state.clock()
@@ -166,14 +166,14 @@
                 beliefs,
                 counts,
                 scale=self.state.boxes / (1 + self.state.peers.fresh_boxes(now)),
-                pace=pace,
+                timing=timing,
                 traits=traits,
                 paces=self.state.paces,
                 ordered=_changing(beliefs, now) | ordered,
                 now=now,
             )
         power = EnginePower(
-            prefill_pace=pace.pace,
+            prefill_pace=timing.tokens_per_s,
             kv_tokens=traits.kv_tokens,
             slots=traits.slots,
             read_limit_s=self._read_limit_s(table, service.name),
--- a/src/croftchute/forwarding/workers/stream_run.py
+++ b/src/croftchute/forwarding/workers/stream_run.py
@@ -206,7 +206,7 @@
             return patience.first_event_patience(run.route, time_left_s=run.time_left_s)
         times = ReadingTimes.predict(
             prompt_tokens=run.facts.prompt_tokens,
-            pace=run.state.prefill_pace(run.service),
+            timing=run.state.prefill_pace(run.service),
             wait_s=0.0,
         )
         return patience.own_reading_patience(
--- a/src/croftchute/peers/codec.py
+++ b/src/croftchute/peers/codec.py
@@ -17,7 +17,7 @@
 
 from croftchute.errors import MessageError
 from croftchute.peers.messages import Body
-from croftchute.systems.prefill_pace import PrefillSample
+from croftchute.systems.prefill_timing import PrefillSample
 from croftchute.tables.allowances import UsageGrant, UsageReturn, UsageWant
 from croftchute.tables.crashes import CrashNotice
 from croftchute.tables.peers import (
--- a/src/croftchute/systems/peer_table.py
+++ b/src/croftchute/systems/peer_table.py
@@ -7,8 +7,8 @@
 
 from croftchute.peers.messages import BoxNotice
 from croftchute.systems.hall_relays import LIVE_S
-from croftchute.systems.prefill_pace import PrefillSample
 from croftchute.systems.prefill_queue import faded
+from croftchute.systems.prefill_timing import PrefillSample
 from croftchute.systems.room_forecast import RoomCounts
 from croftchute.systems.stage_balance import DemandCounts
 from croftchute.tables.peers import OrganisationUseNotice, Peer, RankRoomNotice, WorkerNotice
--- a/src/croftchute/systems/predicted_end.py
+++ b/src/croftchute/systems/predicted_end.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass
 from enum import StrEnum
 
-from croftchute.systems.prefill_pace import PrefillPace
+from croftchute.systems.prefill_timing import PrefillTiming
 from croftchute.systems.worker_belief import LOAD_TTL_S, WorkerBelief
 from croftchute.systems.worker_choice import (
     FAILURE_COST,
@@ -146,7 +146,7 @@
     *,
     prompt_tokens: int,
     usual: UsualTimes,
-    reading: PrefillPace,
+    timing: PrefillTiming,
     told_wait_s: float,
     around: Surroundings,
     pace: PaceEstimate,
@@ -162,12 +162,12 @@
     wait_s = prompts * usual.prompt_s * pace.factor
     if now - belief.load_at > LOAD_TTL_S:
         wait_s = max(wait_s, told_wait_s, belief.queue.seen_wait_left_s(now))
-    work_s = reading.reading_s(prompt_tokens)
+    work_s = timing.prefill_s(prompt_tokens)
     failed_s = max(work_s, usual.prompt_s, usual.full_prompts_s)
     return PredictedEnd(
         wait_s=wait_s,
         work_s=work_s * pace.factor,
-        overdue_s=belief.queue.overdue_s(pace=reading, now=now),
+        overdue_s=belief.queue.overdue_s(timing=timing, now=now),
         far_s=_far_s(belief, around),
         failure_s=failed_s * failure_cost(belief, around, now),
         pace=pace.factor,
--- a/src/croftchute/systems/prefill_queue.py
+++ b/src/croftchute/systems/prefill_queue.py
@@ -9,7 +9,7 @@
 
 from dataclasses import dataclass, field
 
-from croftchute.systems.prefill_pace import PrefillPace
+from croftchute.systems.prefill_timing import PrefillTiming
 from croftchute.systems.service_capacity import OWN_READING_PACE
 
 WAIT_HALF_LIFE_S = 0.5
@@ -54,34 +54,37 @@
         """What the wait of the last answered call says of now."""
         return faded(self.seen_wait_s, now - self.seen_at)
 
-    def overdue_s(self, *, pace: PrefillPace, now: float) -> float:
+    def overdue_s(self, *, timing: PrefillTiming, now: float) -> float:
         """How long the latest of the open calls takes beyond what was predicted for it."""
         late = (
-            now - call.sent_at - max(call.expected_s, pace.reading_s(call.tokens))
+            now - call.sent_at - max(call.expected_s, timing.prefill_s(call.tokens))
             for call in self.open_by_request.values()
         )
         return max(0.0, max(late, default=0.0))
 
-    def answered(self, request_id: str, *, pace: PrefillPace, now: float) -> None:
+    def answered(self, request_id: str, *, timing: PrefillTiming, now: float) -> None:
         """The worker has read the prompt."""
         call = self.open_by_request.pop(request_id, None)
         if call is not None:
-            self.seen_wait_s = max(0.0, now - call.sent_at - pace.reading_s(call.tokens))
+            self.seen_wait_s = max(0.0, now - call.sent_at - timing.prefill_s(call.tokens))
             self.seen_at = now
 
     def dropped(self, request_id: str) -> None:
         """The call ended without an answer."""
         self.open_by_request.pop(request_id, None)
 
-    def wait_s(self, *, pace: PrefillPace, now: float) -> float:
+    def wait_s(self, *, timing: PrefillTiming, now: float) -> float:
         """How long one more prompt would wait, as far as this box can tell."""
         own_tokens = sum(call.tokens for call in self.open_by_request.values())
         overdue_s = [
-            now - call.sent_at - pace.reading_s(call.tokens)
+            now - call.sent_at - timing.prefill_s(call.tokens)
             for call in self.open_by_request.values()
         ]
         return max(
-            own_tokens / pace.pace, faded(self.seen_wait_s, now - self.seen_at), *overdue_s, 0.0
+            own_tokens / timing.tokens_per_s,
+            faded(self.seen_wait_s, now - self.seen_at),
+            *overdue_s,
+            0.0,
         )
 
 
@@ -103,13 +106,13 @@
     own_s: float
 
     @classmethod
-    def predict(cls, *, prompt_tokens: int, pace: PrefillPace, wait_s: float) -> ReadingTimes:
+    def predict(cls, *, prompt_tokens: int, timing: PrefillTiming, wait_s: float) -> ReadingTimes:
         """The times for one prompt, given the wait at the prefill worker and its pace."""
-        read_s = prompt_tokens / pace.pace
+        read_s = prompt_tokens / timing.tokens_per_s
         return cls(
             wait_s=wait_s,
-            ahead_s=wait_s + pace.fixed_s + read_s,
-            own_s=pace.fixed_s + read_s / OWN_READING_PACE,
+            ahead_s=wait_s + timing.overhead_s + read_s,
+            own_s=timing.overhead_s + read_s / OWN_READING_PACE,
         )
 
     def is_better_ahead(self, *, target_s: float) -> bool:
--- a/src/croftchute/systems/stage_balance.py
+++ b/src/croftchute/systems/stage_balance.py
@@ -11,7 +11,7 @@
 from collections.abc import Sequence
 from dataclasses import dataclass, field
 
-from croftchute.systems.prefill_pace import PrefillSample
+from croftchute.systems.prefill_timing import PrefillSample
 from croftchute.systems.service_capacity import (
     EnginePower,
     RequestMix,
--- a/src/croftchute/systems/stage_headroom.py
+++ b/src/croftchute/systems/stage_headroom.py
@@ -14,7 +14,7 @@
 from dataclasses import dataclass, field, replace
 
 from croftchute.systems import stage_search
-from croftchute.systems.prefill_pace import PrefillPace
+from croftchute.systems.prefill_timing import PrefillTiming
 from croftchute.systems.service_capacity import MEMORY_USE, PREFILL_USE, RequestMix
 from croftchute.systems.stage_balance import WINDOW_S, DemandCounts, StageChange
 from croftchute.systems.worker_belief import WorkerBelief
@@ -137,7 +137,7 @@
         counts: DemandCounts,
         *,
         scale: float,
-        pace: PrefillPace,
+        timing: PrefillTiming,
         traits: EngineTraits,
         paces: PaceView,
         ordered: dict[str, Stage],
@@ -146,11 +146,11 @@
         """The changes that the service needs; none where the figures are too few or not valid.
 
         ``counts`` are sums over some boxes, ``scale`` is the boxes of the fleet over those;
-        ``pace`` is that of a prefill call at the usual pace; ``ordered`` are stages of workers
+        ``timing`` is that of a prefill call at the usual pace; ``ordered`` are stages of workers
         that get no order: those that change count as changed, those that rest as they are.
         """
         engines = _engines(beliefs, ordered, paces, now)
-        work = _work(counts, engines, scale=scale, pace=pace, traits=traits)
+        work = _work(counts, engines, scale=scale, timing=timing, traits=traits)
         self._work = work if work is not None else self._work
         self._forget(now)
         if engines and not any(engine.stage is Stage.DECODE for engine in engines):
@@ -280,16 +280,16 @@
     engines: Sequence[_Engine],
     *,
     scale: float,
-    pace: PrefillPace,
+    timing: PrefillTiming,
     traits: EngineTraits,
 ) -> StageWork | None:
     """What all boxes are asked for each second; None if that is not known."""
     mix = counts.mix
-    is_known = traits.kv_tokens > 0 and pace.pace > 0.0 and math.isfinite(scale)
+    is_known = traits.kv_tokens > 0 and timing.tokens_per_s > 0.0 and math.isfinite(scale)
     if mix is None or not is_known:
         return None
     rate = max(1.0, scale) * counts.asks / WINDOW_S
-    prefill_s = pace.fixed_s + mix.prompt_tokens / pace.pace
+    prefill_s = timing.overhead_s + mix.prompt_tokens / timing.tokens_per_s
     share = max(mix.held_tokens / traits.kv_tokens, 1.0 / max(1, traits.slots))
     decode_s = _usual_stream_s(mix, engines)
     work = StageWork(
--- a/src/croftchute/tables/peers.py
+++ b/src/croftchute/tables/peers.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from croftchute.systems.prefill_pace import PrefillSample
+from croftchute.systems.prefill_timing import PrefillSample
 
 NOT_LEFT_OUT = -1.0
 """Stands for the age of an answer that did not come."""
--- a/tests/forwarding/workers/test_stage_orders.py
+++ b/tests/forwarding/workers/test_stage_orders.py
@@ -148,7 +148,7 @@
             assert found and orders.wanted() == found
             engine = state.table.services_by_name["llm"].engine
             power = EnginePower(
-                prefill_pace=state.prefill_pace("llm").pace,
+                prefill_pace=state.prefill_pace("llm").tokens_per_s,
                 kv_tokens=engine.kv_tokens,
                 slots=engine.slots,
             )
--- a/tests/systems/test_predicted_end.py
+++ b/tests/systems/test_predicted_end.py
@@ -20,7 +20,7 @@
     prefill_end,
     without_doubtful,
 )
-from croftchute.systems.prefill_pace import PrefillPace
+from croftchute.systems.prefill_timing import PrefillTiming
 from croftchute.systems.worker_belief import WorkerBelief
 from croftchute.systems.worker_choice import Surroundings, choose
 from croftchute.systems.worker_table import WorkerTable
@@ -28,7 +28,7 @@
 from croftchute.tables.routing import Stage, Worker
 
 AROUND = Surroundings(zone="near", peers=PeerTable(own_id="me"))
-READING = PrefillPace(fixed_s=0.1, pace=50_000.0)
+TIMING = PrefillTiming(overhead_s=0.1, tokens_per_s=50_000.0)
 USUAL = UsualTimes(answer_s=0.1, stream_s=5.0, pause_s=0.02, prompt_s=0.2, full_prompts_s=0.5)
 
 
@@ -75,7 +75,7 @@
         known,
         prompt_tokens=5_000,
         usual=USUAL,
-        reading=READING,
+        timing=TIMING,
         told_wait_s=told_wait_s,
         around=around,
         pace=pace(factor),
--- a/tests/systems/test_prefill_pace.py
+++ b/tests/systems/test_prefill_timing.py
@@ -1,6 +1,11 @@
 import random
 
-from croftchute.systems.prefill_pace import DEFAULT_PACE, PrefillPace, PrefillSample, fit_pace
+from croftchute.systems.prefill_timing import (
+    DEFAULT_TOKENS_PER_S,
+    PrefillSample,
+    PrefillTiming,
+    fit_prefill_timing,
+)
 
 
 def calls(count, *, waiting_share, seed=1):
@@ -15,22 +20,24 @@
 
 
 def test_without_calls_the_pace_is_a_guess():
-    assert fit_pace([]) == PrefillPace(fixed_s=0.0, pace=DEFAULT_PACE)
+    assert fit_prefill_timing([]) == PrefillTiming(
+        overhead_s=0.0, tokens_per_s=DEFAULT_TOKENS_PER_S
+    )
 
 
 def test_of_few_calls_the_quickest_counts():
     """It used to count for ever, however many calls told more."""
     few = [PrefillSample(tokens=3000, seconds=0.3), PrefillSample(tokens=3000, seconds=0.15)]
-    assert fit_pace(few) == PrefillPace(fixed_s=0.0, pace=20_000.0)
+    assert fit_prefill_timing(few) == PrefillTiming(overhead_s=0.0, tokens_per_s=20_000.0)
 
 
 def test_calls_that_waited_do_not_slow_the_pace():
     for seed in range(20):
-        found = fit_pace(calls(40, waiting_share=0.4, seed=seed))
-        assert 27_000 < found.pace < 36_000
-        assert 0.04 < found.fixed_s < 0.09
+        found = fit_prefill_timing(calls(40, waiting_share=0.4, seed=seed))
+        assert 27_000 < found.tokens_per_s < 36_000
+        assert 0.04 < found.overhead_s < 0.09
 
 
 def test_prompts_of_one_size_tell_the_quickest_pace():
     same = [PrefillSample(tokens=3000, seconds=0.15 + 0.01 * n) for n in range(10)]
-    assert fit_pace(same).pace == 20_000.0
+    assert fit_prefill_timing(same).tokens_per_s == 20_000.0
--- a/tests/systems/test_stage_headroom.py
+++ b/tests/systems/test_stage_headroom.py
@@ -8,7 +8,7 @@
 from hypothesis import example, given, settings
 from hypothesis import strategies as st
 
-from croftchute.systems.prefill_pace import PrefillPace
+from croftchute.systems.prefill_timing import PrefillTiming
 from croftchute.systems.stage_balance import WINDOW_S, DemandCounts
 from croftchute.systems.stage_headroom import (
     MAX_PREFILL_USE,
@@ -20,7 +20,7 @@
 from croftchute.tables.paces import PaceEstimate, PaceSource
 from croftchute.tables.routing import EngineTraits, Stage, Worker, WorkerState
 
-PACE = PrefillPace(fixed_s=0.093, pace=55_600.0)
+TIMING = PrefillTiming(overhead_s=0.093, tokens_per_s=55_600.0)
 TRAITS = EngineTraits(
     slots=128, kv_tokens=41_200, kv_bytes_per_token=1.0, handle_ttl_s=10.0, switch_s=6.0
 )
@@ -68,12 +68,12 @@
             if belief.worker.stage is stage
         )
 
-    def wanted(self, counts, *, now=0.0, without=(), scale=1.0, pace=PACE):
+    def wanted(self, counts, *, now=0.0, without=(), scale=1.0, timing=TIMING):
         return self.headroom.wanted(
             self.beliefs(without=without),
             counts,
             scale=scale,
-            pace=pace,
+            timing=timing,
             traits=TRAITS,
             paces=self.paces,
             ordered=self.ordered,
@@ -95,7 +95,7 @@
 
 
 def prefill_use(rate, speed, *, prompt=5_200):
-    return rate * (PACE.fixed_s + prompt / PACE.pace) / speed
+    return rate * (TIMING.overhead_s + prompt / TIMING.tokens_per_s) / speed
 
 
 CALM = demand(40.0)
@@ -112,8 +112,8 @@
     """Without it 8 prefill workers seem 0.47 used and stay; they are 0.94 used."""
     changes = Service(8, 37).wanted(CALM)
     assert changes and {change.stage for change in changes} == {Stage.PREFILL}
-    unaware = PrefillPace(fixed_s=0.0, pace=PACE.pace)
-    assert Service(8, 37).wanted(CALM, pace=unaware) == []
+    unaware = PrefillTiming(overhead_s=0.0, tokens_per_s=TIMING.tokens_per_s)
+    assert Service(8, 37).wanted(CALM, timing=unaware) == []
 
 
 def test_a_surge_to_twice_the_load_gets_prefill_workers():
@@ -259,9 +259,9 @@
         assert Service(1, 44).wanted(demand(80.0), scale=scale) == []
     for stream_s in (math.nan, math.inf, -1.0):
         assert Service(1, 44).wanted(demand(80.0, stream_s=stream_s)) == []
-    for pace in (0.0, -1.0, math.nan):
-        broken = PrefillPace(fixed_s=0.1, pace=pace)
-        assert Service(1, 44).wanted(demand(80.0), pace=broken) == []
+    for tokens_per_s in (0.0, -1.0, math.nan):
+        broken = PrefillTiming(overhead_s=0.1, tokens_per_s=tokens_per_s)
+        assert Service(1, 44).wanted(demand(80.0), timing=broken) == []
     service = Service(16, 29)
     service.paces.factor_by_id = {f"e{n:02}": math.nan for n in range(45)}
     assert service.wanted(CALM) == []
@@ -365,7 +365,9 @@
             speed = sum(1.0 / service.paces.factor_by_id[worker_id] for worker_id in decodes)
             mean_speed = speed / len(decodes) if decodes else 1.0
             held = (prompt + output / 2.0) / TRAITS.kv_tokens
-            prefill = (PACE.fixed_s + prompt / PACE.pace) / (held * stream_s * mean_speed)
+            prefill = (TIMING.overhead_s + prompt / TIMING.tokens_per_s) / (
+                held * stream_s * mean_speed
+            )
             for change in service.wanted(counts, now=now, without=without):
                 worker_id = change.worker.id
                 until, stage, need = last_by_id.get(worker_id, (0.0, None, 0.0))
--- a/tests/systems/test_unordered_room.py
+++ b/tests/systems/test_unordered_room.py
@@ -59,11 +59,11 @@
         if run.state.is_ending(run.now):
             return False
         mean_wait_s = run.state.mean_room_wait_s(run.service)
-        pace = run.state.prefill_pace(run.service)
+        timing = run.state.prefill_pace(run.service)
         wait = RoomWait(
             elapsed_s=run.now - run.started_at,
             time_left_s=run.time_left_s,
-            reading_s=pace.reading_s(run.facts.prompt_tokens),
+            reading_s=timing.prefill_s(run.facts.prompt_tokens),
             before_s=run.before_s if run.state.ways.returns is ReturnWay.IN_TIME_FIRST else 0.0,
         )
         if wait.is_worthwhile(run.route, mean_wait_s=mean_wait_s):
