--- a/src/croftchute/forwarding/workers/end_choice.py
+++ b/src/croftchute/forwarding/workers/end_choice.py
@@ -13,8 +13,8 @@
 from croftchute.forwarding.workers.load_reader import KIND_BY_STAGE, usual_answer_s
 from croftchute.systems import patience, predicted_end
 from croftchute.systems.predicted_end import PlacementWay, UsualTimes
-from croftchute.systems.prefill_queue import ReadingTimes
-from croftchute.systems.service_capacity import OWN_READING_PACE
+from croftchute.systems.prefill_queue import PrefillEstimate
+from croftchute.systems.service_capacity import LOCAL_PREFILL_SPEED_RATIO
 from croftchute.systems.worker_belief import WorkerBelief
 from croftchute.systems.worker_choice import (
     SAMPLE,
@@ -145,7 +145,7 @@
                 prompt_tokens=tokens,
                 usual=replace(usual, prompt_s=usual.prompt_s or timing.prefill_s(tokens)),
                 timing=timing,
-                told_wait_s=state.peers.prefill_wait_s(belief.worker.id, now),
+                reported_wait_s=state.peers.prefill_wait_s(belief.worker.id, now),
                 around=around,
                 pace=pace,
                 now=now,
@@ -166,14 +166,14 @@
 
 def reading_times(
     end: PredictedEnd, decode: WorkerBelief, *, state: ForwardingState, prompt_tokens: int
-) -> ReadingTimes:
+) -> PrefillEstimate:
     """Until when a prompt is read ahead by the worker of an end, or by its decode worker."""
     service = decode.worker.service
     timing = state.prefill_pace(service)
     pace = state.paces.estimate(decode.worker.id, WorkKind.TOKEN, state.clock())
-    own_s = timing.overhead_s + prompt_tokens / timing.tokens_per_s / OWN_READING_PACE
-    return ReadingTimes(
-        wait_s=end.wait_s + end.overdue_s, ahead_s=end.served_s, own_s=own_s * pace.factor
+    local_s = timing.overhead_s + prompt_tokens / timing.tokens_per_s / LOCAL_PREFILL_SPEED_RATIO
+    return PrefillEstimate(
+        wait_s=end.wait_s + end.overdue_s, remote_s=end.served_s, local_s=local_s * pace.factor
     )
 
 
--- a/src/croftchute/forwarding/workers/prompt_reader.py
+++ b/src/croftchute/forwarding/workers/prompt_reader.py
@@ -16,7 +16,7 @@
 from croftchute.forwarding.workers.worker_call import WorkerCall
 from croftchute.forwarding.workers.worker_control import free_handle
 from croftchute.systems import patience
-from croftchute.systems.prefill_queue import ReadingTimes
+from croftchute.systems.prefill_queue import PrefillEstimate
 from croftchute.systems.worker_belief import WorkerBelief
 from croftchute.systems.worker_choice import ChoiceInput
 from croftchute.tables.routing import Stage
@@ -106,12 +106,12 @@
 
     def _reading_times(
         self, prefill: WorkerBelief, chosen: ChoiceInput, decode: WorkerBelief
-    ) -> ReadingTimes:
+    ) -> PrefillEstimate:
         run = self.run
         tokens = run.facts.prompt_tokens
         if chosen.end is not None:
             return reading_times(chosen.end, decode, state=run.state, prompt_tokens=tokens)
-        return ReadingTimes.predict(
+        return PrefillEstimate.predict(
             prompt_tokens=tokens,
             timing=run.state.prefill_pace(run.service),
             wait_s=run.state.prefill_wait_s(prefill),
@@ -124,7 +124,7 @@
         run = self.run
         times = self._reading_times(prefill, chosen, decode)
         is_unreachable = run.now < prefill.unreachable_until
-        if not is_unreachable and times.is_better_ahead(target_s=run.route.target_s):
+        if not is_unreachable and times.prefers_remote(target_s=run.route.target_s):
             return True
         run.log(
             Decision.READ_AT_DECODE,
@@ -132,8 +132,8 @@
             worker=decode.worker.id,
             prefill=prefill.worker.id,
             wait_ms=round(times.wait_s * 1000),
-            ahead_ms=round(times.ahead_s * 1000),
-            own_ms=round(times.own_s * 1000),
+            ahead_ms=round(times.remote_s * 1000),
+            own_ms=round(times.local_s * 1000),
             **(chosen.end.log_facts() if chosen.end is not None else {}),
         )
         return False
@@ -148,7 +148,9 @@
         )
         call = WorkerCall(run=run, belief=belief, send=send, chosen=chosen)
         expected_s = chosen.end.served_s if chosen.end is not None else 0.0
-        belief.queue.sent(run.facts.id, run.facts.prompt_tokens, run.now, expected_s=expected_s)
+        belief.queue.note_sent(
+            run.facts.id, run.facts.prompt_tokens, run.now, expected_s=expected_s
+        )
         try:
             await call.open()
             return await self._take_handle(call)
@@ -163,7 +165,7 @@
             run.arrivals += 1
             call.failed(ConnectionBrokenError(error.message))
         finally:
-            belief.queue.dropped(run.facts.id)
+            belief.queue.note_dropped(run.facts.id)
             call.close()
         return None
 
@@ -185,7 +187,7 @@
         usual_s = working_s / end.pace if end is not None else working_s
         run.state.demand(run.service).note_prefill(run.facts.prompt_tokens, usual_s)
         timing = run.state.prefill_pace(run.service)
-        call.belief.queue.answered(run.facts.id, timing=timing, now=run.now)
+        call.belief.queue.note_answered(run.facts.id, timing=timing, now=run.now)
         note_reading_pace(run.state, call.worker, run.facts.prompt_tokens, working_s)
         self.unused = handle
         if run.engine is not None:
--- a/src/croftchute/forwarding/workers/stream_run.py
+++ b/src/croftchute/forwarding/workers/stream_run.py
@@ -25,7 +25,7 @@
 from croftchute.forwarding.workers.request_run import RequestRun
 from croftchute.forwarding.workers.worker_call import WorkerCall
 from croftchute.systems import patience
-from croftchute.systems.prefill_queue import ReadingTimes
+from croftchute.systems.prefill_queue import PrefillEstimate
 from croftchute.systems.worker_belief import WorkerBelief
 from croftchute.systems.worker_choice import ChoiceInput
 from croftchute.tables.routing import HeaderList, Stage
@@ -204,13 +204,13 @@
         run = self.run
         if source is not None:
             return patience.first_event_patience(run.route, time_left_s=run.time_left_s)
-        times = ReadingTimes.predict(
+        times = PrefillEstimate.predict(
             prompt_tokens=run.facts.prompt_tokens,
             timing=run.state.prefill_pace(run.service),
             wait_s=0.0,
         )
         return patience.own_reading_patience(
-            run.route, predicted_s=times.own_s, time_left_s=run.time_left_s
+            run.route, predicted_s=times.local_s, time_left_s=run.time_left_s
         )
 
     def _may_go_elsewhere(self) -> bool:
--- a/src/croftchute/systems/peer_table.py
+++ b/src/croftchute/systems/peer_table.py
@@ -7,7 +7,7 @@
 
 from croftchute.peers.messages import BoxNotice
 from croftchute.systems.hall_relays import LIVE_S
-from croftchute.systems.prefill_queue import faded
+from croftchute.systems.prefill_queue import decayed_wait_s
 from croftchute.systems.prefill_timing import PrefillSample
 from croftchute.systems.room_forecast import RoomCounts
 from croftchute.systems.stage_balance import DemandCounts
@@ -195,7 +195,9 @@
 
     def prefill_wait_s(self, worker_id: str, now: float) -> float:
         """The longest wait at a prefill worker that other boxes told of lately."""
-        waits = [faded(entry.wait_s, age_s) for entry, age_s in self._entries(worker_id, now)]
+        waits = [
+            decayed_wait_s(entry.wait_s, age_s) for entry, age_s in self._entries(worker_id, now)
+        ]
         return max(waits, default=0.0)
 
     def prefills(self, service: str, now: float) -> list[PrefillSample]:
--- a/src/croftchute/systems/predicted_end.py
+++ b/src/croftchute/systems/predicted_end.py
@@ -147,7 +147,7 @@
     prompt_tokens: int,
     usual: UsualTimes,
     timing: PrefillTiming,
-    told_wait_s: float,
+    reported_wait_s: float,
     around: Surroundings,
     pace: PaceEstimate,
     now: float,
@@ -155,13 +155,13 @@
     """The end of a prompt at a prefill worker.
 
     The prompts there are those that the worker told just now, and this box's own. Where it told
-    nothing lately, what calls waited counts if it is more: ``told_wait_s``, here and at peers.
+    nothing lately, what calls waited counts if it is more: ``reported_wait_s``, here and at peers.
     """
-    own = len(belief.queue.open_by_request)
+    own = len(belief.queue.open_calls_by_request)
     prompts = own + belief.others_running(now)
     wait_s = prompts * usual.prompt_s * pace.factor
     if now - belief.load_at > LOAD_TTL_S:
-        wait_s = max(wait_s, told_wait_s, belief.queue.seen_wait_left_s(now))
+        wait_s = max(wait_s, reported_wait_s, belief.queue.decayed_observed_wait_s(now))
     work_s = timing.prefill_s(prompt_tokens)
     failed_s = max(work_s, usual.prompt_s, usual.full_prompts_s)
     return PredictedEnd(
--- a/src/croftchute/systems/service_capacity.py
+++ b/src/croftchute/systems/service_capacity.py
@@ -25,7 +25,7 @@
 MEMORY_USE = 0.9
 """Share of decode memory that holds can fill: a request of average size does not fit the rest."""
 
-OWN_READING_PACE = 0.5
+LOCAL_PREFILL_SPEED_RATIO = 0.5
 """Pace of a decode worker that reads a prompt itself, over that of a prefill worker (platform)."""
 
 
@@ -120,8 +120,8 @@
     if by_decode * prefill_s <= read_ahead:
         return by_decode
     # Decode workers spend the time that their own reading takes, and run streams in the rest.
-    own_s = prefill_s / OWN_READING_PACE
-    return (decodes + read_ahead / OWN_READING_PACE) / (worker_s + own_s)
+    own_s = prefill_s / LOCAL_PREFILL_SPEED_RATIO
+    return (decodes + read_ahead / LOCAL_PREFILL_SPEED_RATIO) / (worker_s + own_s)
 
 
 def best_split(workers: int, mix: RequestMix, power: EnginePower) -> Split:
--- a/tests/systems/test_predicted_end.py
+++ b/tests/systems/test_predicted_end.py
@@ -70,13 +70,13 @@
     )
 
 
-def prefill(known, *, factor=1.0, now=10.0, told_wait_s=0.0, around=AROUND):
+def prefill(known, *, factor=1.0, now=10.0, reported_wait_s=0.0, around=AROUND):
     return prefill_end(
         known,
         prompt_tokens=5_000,
         usual=USUAL,
         timing=TIMING,
-        told_wait_s=told_wait_s,
+        reported_wait_s=reported_wait_s,
         around=around,
         pace=pace(factor),
         now=now,
@@ -132,7 +132,7 @@
     table.upsert(belief("p", stage=Stage.PREFILL).worker, 0.0)
     known = table.beliefs_by_id["p"]
     table.note_sent("p", 5_000)
-    known.queue.sent("r1", 5_000, 9.99)
+    known.queue.note_sent("r1", 5_000, 9.99)
     table.note_load("p", 2, 1, 10.0, sent_since=known.queue.sent_since(9.98))
     assert prefill(known, factor=1.5).wait_s == pytest.approx(4 * 0.2 * 1.5)
 
@@ -140,17 +140,17 @@
 def test_a_fresh_probe_overrules_what_calls_waited_before():
     """Guards against a worker that is idle again being passed over for a wait of the past."""
     known = belief(stage=Stage.PREFILL)
-    known.queue.seen_wait_s, known.queue.seen_at = 0.6, 10.0
-    assert prefill(known, told_wait_s=0.8).wait_s == pytest.approx(0.8)
+    known.queue.observed_wait_s, known.queue.observed_at = 0.6, 10.0
+    assert prefill(known, reported_wait_s=0.8).wait_s == pytest.approx(0.8)
     assert prefill(known).wait_s == pytest.approx(0.6)
     known.load_at = 9.9
-    assert prefill(known, told_wait_s=0.8).wait_s == 0.0
+    assert prefill(known, reported_wait_s=0.8).wait_s == 0.0
 
 
 def test_a_prompt_is_overdue_only_beyond_what_was_predicted_when_it_was_sent():
     """Guards against counting a queue that was known as a second wait."""
     known = belief(stage=Stage.PREFILL)
-    known.queue.sent("r1", 5_000, 9.0, expected_s=0.8)
+    known.queue.note_sent("r1", 5_000, 9.0, expected_s=0.8)
     assert prefill(known, now=9.7).overdue_s == 0.0
     assert prefill(known, now=10.0).overdue_s == pytest.approx(0.2)
 
