--- a/src/croftchute/forwarding/workers/end_choice.py
+++ b/src/croftchute/forwarding/workers/end_choice.py
@@ -12,7 +12,7 @@
 from croftchute.forwarding.workers.load_probe import PROBE_TIMEOUT_S, probe_loads
 from croftchute.forwarding.workers.load_reader import KIND_BY_STAGE, usual_answer_s
 from croftchute.systems import patience, predicted_end
-from croftchute.systems.predicted_end import PlacementWay, UsualTimes
+from croftchute.systems.predicted_end import PlacementMode, UsualTimes
 from croftchute.systems.prefill_queue import PrefillEstimate
 from croftchute.systems.service_capacity import LOCAL_PREFILL_SPEED_RATIO
 from croftchute.systems.worker_belief import WorkerBelief
@@ -33,9 +33,9 @@
 def chooses_by_end(state: ForwardingState, service: str) -> bool:
     """Whether workers of a service are chosen by predicted end."""
     way = state.ways.placement
-    if way is PlacementWay.AUTO:
+    if way is PlacementMode.AUTO:
         return state.tells_pace(service)
-    return way is PlacementWay.BY_END
+    return way is PlacementMode.BY_END
 
 
 class PlacedRequest(Protocol):
--- a/src/croftchute/forwarding/workers/stage_orders.py
+++ b/src/croftchute/forwarding/workers/stage_orders.py
@@ -17,7 +17,7 @@
 from croftchute.forwarding.state import ForwardingState
 from croftchute.forwarding.workers.worker_control import give_stage_order
 from croftchute.storage.watched import LeaseStore
-from croftchute.systems.service_capacity import READ_SHARE_OF_TARGET, EnginePower, SplitWay
+from croftchute.systems.service_capacity import PREFILL_SHARE_OF_TARGET, EngineCapacity, SplitMode
 from croftchute.systems.stage_balance import StageChange, wanted_changes
 from croftchute.systems.stage_headroom import StageHeadroom
 from croftchute.systems.worker_belief import WorkerBelief
@@ -159,7 +159,7 @@
         counts = self.state.fleet_demand(service.name)
         timing = self.state.prefill_pace(service.name)
         ordered = self._ordered() | self._resting(beliefs)
-        if self.split_way(service.name) is SplitWay.HEADROOM:
+        if self.split_way(service.name) is SplitMode.HEADROOM:
             now = self.state.clock()
             headroom = self._headroom_by_service.setdefault(service.name, StageHeadroom())
             return headroom.wanted(
@@ -172,20 +172,20 @@
                 ordered=_changing(beliefs, now) | ordered,
                 now=now,
             )
-        power = EnginePower(
-            prefill_pace=timing.tokens_per_s,
+        capacity = EngineCapacity(
+            prefill_tokens_per_s=timing.tokens_per_s,
             kv_tokens=traits.kv_tokens,
             slots=traits.slots,
-            read_limit_s=self._read_limit_s(table, service.name),
+            prefill_limit_s=self._read_limit_s(table, service.name),
         )
-        return wanted_changes(beliefs, counts, power, ordered=ordered)
+        return wanted_changes(beliefs, counts, capacity, ordered=ordered)
 
-    def split_way(self, service: str) -> SplitWay:
+    def split_way(self, service: str) -> SplitMode:
         """How the engines of a service are split at the moment; never ``auto``."""
         way = self.state.ways.split
-        if way is not SplitWay.AUTO:
+        if way is not SplitMode.AUTO:
             return way
-        return SplitWay.HEADROOM if self.state.tells_pace(service) else SplitWay.FIXED_USE
+        return SplitMode.HEADROOM if self.state.tells_pace(service) else SplitMode.FIXED_USE
 
     def _staying(self, service: str) -> list[WorkerBelief]:
         """The workers of a service that did not say that they leave."""
@@ -207,9 +207,9 @@
     def _read_limit_s(self, table: RoutingTable, service: str) -> float:
         """The time in which prompts of a service should be read; 0 where that is not looked at."""
         targets = table.stream_targets(service)
-        if self.split_way(service) is not SplitWay.BY_TARGET or not targets:
+        if self.split_way(service) is not SplitMode.BY_TARGET or not targets:
             return 0.0
-        return READ_SHARE_OF_TARGET * min(targets)
+        return PREFILL_SHARE_OF_TARGET * min(targets)
 
     def _ordered(self) -> dict[str, Stage]:
         """Stages of workers whose orders are on their way; forgets orders that are not."""
@@ -234,7 +234,7 @@
 
     def _lasts_s(self, change: StageChange) -> float:
         """For how long a change must have been wanted, in seconds."""
-        is_patient = self.split_way(change.worker.service) is SplitWay.HEADROOM
+        is_patient = self.split_way(change.worker.service) is SplitMode.HEADROOM
         if change.is_urgent or (change.stage is Stage.DECODE and not is_patient):
             return LASTS_S
         return PREFILL_LASTS_S
--- a/src/croftchute/router_settings.py
+++ b/src/croftchute/router_settings.py
@@ -9,9 +9,9 @@
 
 from croftchute.errors import Code, DocumentError, Fault
 from croftchute.systems.patience import HoldWay, ReturnWay
-from croftchute.systems.predicted_end import PlacementWay
+from croftchute.systems.predicted_end import PlacementMode
 from croftchute.systems.room_order import OrderWay
-from croftchute.systems.service_capacity import SplitWay
+from croftchute.systems.service_capacity import SplitMode
 from croftchute.systems.size_lanes import RoomWay
 from croftchute.tables.organisations import LimitWay
 
@@ -64,11 +64,11 @@
 
     limits: LimitWay = LimitWay.POOLED
     room: RoomWay = RoomWay.LANES
-    split: SplitWay = SplitWay.AUTO
+    split: SplitMode = SplitMode.AUTO
     returns: ReturnWay = ReturnWay.RETURNED_FIRST
     hold: HoldWay = HoldWay.LIKELY
     order: OrderWay = OrderWay.AUTO
-    placement: PlacementWay = PlacementWay.AUTO
+    placement: PlacementMode = PlacementMode.AUTO
 
 
 class Conditions(msgspec.Struct, frozen=True, kw_only=True):
--- a/src/croftchute/systems/predicted_end.py
+++ b/src/croftchute/systems/predicted_end.py
@@ -25,7 +25,7 @@
 from croftchute.tables.paces import PaceEstimate, PredictedEnd
 
 
-class PlacementWay(StrEnum):
+class PlacementMode(StrEnum):
     """What a worker is chosen by; ``auto`` is by end where workers tell their pace."""
 
     AUTO = "auto"
--- a/src/croftchute/systems/service_capacity.py
+++ b/src/croftchute/systems/service_capacity.py
@@ -11,25 +11,25 @@
 from dataclasses import dataclass
 from enum import StrEnum
 
-PREFILL_USE = 0.85
+MAX_PREFILL_UTILIZATION = 0.85
 """Share of its time that a prefill worker can be busy at the most. Prompts arrive at random; above
 this a queue of some prompts is the rule (single-server queue)."""
 
-MIN_PREFILL_USE = 0.3
+MIN_PREFILL_UTILIZATION = 0.3
 """The same at the least, however long prompts take to read."""
 
-READ_SHARE_OF_TARGET = 0.6
+PREFILL_SHARE_OF_TARGET = 0.6
 """Share of the target within which a prompt should be read, its wait included: the rest is for
 room, the move of the cache and the first event."""
 
-MEMORY_USE = 0.9
+MAX_KV_UTILIZATION = 0.9
 """Share of decode memory that holds can fill: a request of average size does not fit the rest."""
 
 LOCAL_PREFILL_SPEED_RATIO = 0.5
 """Pace of a decode worker that reads a prompt itself, over that of a prefill worker (platform)."""
 
 
-class SplitWay(StrEnum):
+class SplitMode(StrEnum):
     """How engines are split into stages.
 
     ``by_target`` and ``fixed_use`` serve the most requests, with prefill workers as busy as their
@@ -45,101 +45,119 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class RequestMix:
-    """Averages over the requests of a service; ``token_s`` is the time of one output token."""
+class RequestAverages:
+    """Averages over the requests of a service.
+
+    ``output_token_s`` is the time of one output token.
+    """
 
     prompt_tokens: float
     output_tokens: float
-    token_s: float
+    output_token_s: float
 
     @property
     def decode_s(self) -> float:
         """How long a stream runs at a decode worker, in seconds."""
-        return self.output_tokens * self.token_s
+        return self.output_tokens * self.output_token_s
 
     @property
-    def held_tokens(self) -> float:
+    def mean_kv_tokens(self) -> float:
         """Decode memory that a stream holds on average over its time, in tokens."""
         return self.prompt_tokens + self.output_tokens / 2.0
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class EnginePower:
-    """What one engine can do: ``prefill_pace`` in tokens a second, memory in tokens.
+class EngineCapacity:
+    """What one engine can do: ``prefill_tokens_per_s`` in tokens a second, memory in tokens.
 
-    ``read_limit_s`` is the time in which a prompt should be read, wait included; 0 if none is set.
+    ``prefill_limit_s`` is the time in which a prompt should be read, wait included; 0 if none is
+    set.
     """
 
-    prefill_pace: float
+    prefill_tokens_per_s: float
     kv_tokens: int
     slots: int
-    read_limit_s: float = 0.0
+    prefill_limit_s: float = 0.0
 
-    def prefill_use(self, prompt_tokens: float) -> float:
+    def max_prefill_utilization(self, prompt_tokens: float) -> float:
         """The share of its time that a prefill worker may be busy with prompts of a mean length.
 
         So much that the mean wait at one server with random arrivals and like prompts,
         ``use * reading / (2 * (1 - use))``, still fits the limit.
 
-        >>> power = EnginePower(prefill_pace=33_000, kv_tokens=26_000, slots=16, read_limit_s=0.55)
-        >>> round(power.prefill_use(9_000), 2), power.prefill_use(3_000)
-        (0.67, 0.85)
+        >>> capacity = EngineCapacity(
+        ...     prefill_tokens_per_s=33_000, kv_tokens=26_000, slots=16, prefill_limit_s=0.55
+        ... )
+        >>> round(capacity.max_prefill_utilization(9_000), 2)
+        0.67
+        >>> capacity.max_prefill_utilization(3_000)
+        0.85
         """
-        if self.read_limit_s <= 0.0:
-            return PREFILL_USE
-        reading_s = prompt_tokens / self.prefill_pace
-        wait_s = max(0.0, self.read_limit_s - reading_s)
-        use = 2.0 * wait_s / (reading_s + 2.0 * wait_s)
-        return min(PREFILL_USE, max(MIN_PREFILL_USE, use))
+        if self.prefill_limit_s <= 0.0:
+            return MAX_PREFILL_UTILIZATION
+        prefill_s = prompt_tokens / self.prefill_tokens_per_s
+        wait_s = max(0.0, self.prefill_limit_s - prefill_s)
+        utilization = 2.0 * wait_s / (prefill_s + 2.0 * wait_s)
+        return min(MAX_PREFILL_UTILIZATION, max(MIN_PREFILL_UTILIZATION, utilization))
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Split:
+class StageSplit:
     """So many workers of each stage, and the requests a second that they can serve."""
 
-    prefills: int
-    decodes: int
-    rate: float
+    prefill_workers: int
+    decode_workers: int
+    requests_per_s: float
 
 
-def served_rate(prefills: int, decodes: int, mix: RequestMix, power: EnginePower) -> float:
+def max_request_rate(
+    prefill_workers: int, decode_workers: int, averages: RequestAverages, capacity: EngineCapacity
+) -> float:
     """Requests a second that a split can serve; prompts that overflow are read at decode workers.
 
-    >>> mix = RequestMix(prompt_tokens=3000, output_tokens=600, token_s=0.005)
-    >>> power = EnginePower(prefill_pace=30_000, kv_tokens=40_000, slots=64)
-    >>> [round(served_rate(p, 5 - p, mix, power), 1) for p in (0, 1, 2, 3)]
+    >>> averages = RequestAverages(prompt_tokens=3000, output_tokens=600, output_token_s=0.005)
+    >>> capacity = EngineCapacity(prefill_tokens_per_s=30_000, kv_tokens=40_000, slots=64)
+    >>> [round(max_request_rate(p, 5 - p, averages, capacity), 1) for p in (0, 1, 2, 3)]
     [10.5, 12.0, 10.9, 7.3]
     """
-    if decodes < 1:
+    if decode_workers < 1:
         return 0.0
-    by_memory = mix.held_tokens / (MEMORY_USE * power.kv_tokens)
-    worker_s = mix.decode_s * max(by_memory, 1.0 / max(1, power.slots))
-    prefill_s = mix.prompt_tokens / power.prefill_pace
-    read_ahead = prefills * power.prefill_use(mix.prompt_tokens)
-    by_decode = decodes / worker_s
-    if by_decode * prefill_s <= read_ahead:
-        return by_decode
+    kv_share = averages.mean_kv_tokens / (MAX_KV_UTILIZATION * capacity.kv_tokens)
+    decode_work_s = averages.decode_s * max(kv_share, 1.0 / max(1, capacity.slots))
+    prefill_s = averages.prompt_tokens / capacity.prefill_tokens_per_s
+    prefill_capacity = prefill_workers * capacity.max_prefill_utilization(averages.prompt_tokens)
+    decode_rate = decode_workers / decode_work_s
+    if decode_rate * prefill_s <= prefill_capacity:
+        return decode_rate
     # Decode workers spend the time that their own reading takes, and run streams in the rest.
-    own_s = prefill_s / LOCAL_PREFILL_SPEED_RATIO
-    return (decodes + read_ahead / LOCAL_PREFILL_SPEED_RATIO) / (worker_s + own_s)
+    local_prefill_s = prefill_s / LOCAL_PREFILL_SPEED_RATIO
+    workers = decode_workers + prefill_capacity / LOCAL_PREFILL_SPEED_RATIO
+    return workers / (decode_work_s + local_prefill_s)
 
 
-def best_split(workers: int, mix: RequestMix, power: EnginePower) -> Split:
+def best_split(workers: int, averages: RequestAverages, capacity: EngineCapacity) -> StageSplit:
     """The split of so many workers that serves the most, with as few prefill workers as do.
 
     Of two workers and more one is left to read prompts: without any, each prompt holds up streams.
 
-    >>> mix = RequestMix(prompt_tokens=3000, output_tokens=600, token_s=0.005)
-    >>> best_split(5, mix, EnginePower(prefill_pace=30_000, kv_tokens=40_000, slots=64)).prefills
+    >>> averages = RequestAverages(prompt_tokens=3000, output_tokens=600, output_token_s=0.005)
+    >>> capacity = EngineCapacity(prefill_tokens_per_s=30_000, kv_tokens=40_000, slots=64)
+    >>> best_split(5, averages, capacity).prefill_workers
     1
     """
-    fewest = min(1, workers - 1)
-    counts = range(fewest, max(workers, fewest + 1))
-    splits = [split_of(prefills, workers - prefills, mix, power) for prefills in counts]
-    return max(splits, key=lambda split: (split.rate, -split.prefills))
+    min_prefills = min(1, workers - 1)
+    counts = range(min_prefills, max(workers, min_prefills + 1))
+    splits = [
+        evaluate_split(prefills, workers - prefills, averages, capacity) for prefills in counts
+    ]
+    return max(splits, key=lambda split: (split.requests_per_s, -split.prefill_workers))
 
 
-def split_of(prefills: int, decodes: int, mix: RequestMix, power: EnginePower) -> Split:
+def evaluate_split(
+    prefill_workers: int, decode_workers: int, averages: RequestAverages, capacity: EngineCapacity
+) -> StageSplit:
     """One split with its rate."""
-    rate = served_rate(prefills, decodes, mix, power)
-    return Split(prefills=prefills, decodes=decodes, rate=rate)
+    rate = max_request_rate(prefill_workers, decode_workers, averages, capacity)
+    return StageSplit(
+        prefill_workers=prefill_workers, decode_workers=decode_workers, requests_per_s=rate
+    )
--- a/src/croftchute/systems/stage_balance.py
+++ b/src/croftchute/systems/stage_balance.py
@@ -13,11 +13,11 @@
 
 from croftchute.systems.prefill_timing import PrefillSample
 from croftchute.systems.service_capacity import (
-    EnginePower,
-    RequestMix,
-    Split,
+    EngineCapacity,
+    RequestAverages,
+    StageSplit,
     best_split,
-    split_of,
+    evaluate_split,
 )
 from croftchute.systems.worker_belief import WorkerBelief
 from croftchute.tables.routing import Stage, Worker, WorkerState
@@ -92,18 +92,18 @@
         )
 
     @property
-    def mix(self) -> RequestMix | None:
+    def averages(self) -> RequestAverages | None:
         """The averages; None while there is too little to go by.
 
-        >>> DemandCounts(asks=2).mix is None
+        >>> DemandCounts(asks=2).averages is None
         True
         """
         if self.asks < MIN_ASKS or self.ended < MIN_ENDED or self.ended_tokens == 0:
             return None
-        return RequestMix(
+        return RequestAverages(
             prompt_tokens=self.prompt_tokens / self.asks,
             output_tokens=self.output_tokens / self.asks,
-            token_s=self.ended_s / self.ended_tokens,
+            output_token_s=self.ended_s / self.ended_tokens,
         )
 
 
@@ -166,7 +166,7 @@
 def wanted_changes(
     beliefs: Sequence[WorkerBelief],
     counts: DemandCounts,
-    power: EnginePower,
+    capacity: EngineCapacity,
     *,
     ordered: dict[str, Stage],
 ) -> list[StageChange]:
@@ -183,20 +183,20 @@
     if prefills and not decodes:
         reason = "no decode worker is listed"
         return _changes(by_stage, Stage.DECODE, 1, ordered, reason)
-    mix = counts.mix
-    if mix is None or not decodes:
+    averages = counts.averages
+    if averages is None or not decodes:
         return []
-    present = split_of(prefills, decodes, mix, power)
-    best = best_split(prefills + decodes, mix, power)
-    if best.rate < (1.0 + MIN_GAIN) * present.rate:
+    present = evaluate_split(prefills, decodes, averages, capacity)
+    best = best_split(prefills + decodes, averages, capacity)
+    if best.requests_per_s < (1.0 + MIN_GAIN) * present.requests_per_s:
         return []
-    reason = _reason(present, best, mix, power)
-    if best.prefills < prefills:
+    reason = _reason(present, best, averages, capacity)
+    if best.prefill_workers < prefills:
         most = max(1, int(MAX_SHARE_TO_DECODE * prefills))
-        number = min(most, prefills - best.prefills)
+        number = min(most, prefills - best.prefill_workers)
         return _changes(by_stage, Stage.DECODE, number, ordered, reason)
     most = max(1, int(MAX_SHARE_TO_PREFILL * decodes))
-    number = min(most, best.prefills - prefills)
+    number = min(most, best.prefill_workers - prefills)
     return _changes(by_stage, Stage.PREFILL, number, ordered, reason)
 
 
@@ -225,10 +225,12 @@
     return belief.tokens_in_flight, belief.worker.id
 
 
-def _reason(present: Split, best: Split, mix: RequestMix, power: EnginePower) -> str:
+def _reason(
+    present: StageSplit, best: StageSplit, averages: RequestAverages, capacity: EngineCapacity
+) -> str:
     return (
-        f"{present.prefills}+{present.decodes} serve {present.rate:.1f}/s, "
-        f"{best.prefills}+{best.decodes} serve {best.rate:.1f}/s; prompts of "
-        f"{mix.prompt_tokens:.0f} tokens at {power.prefill_pace:.0f}/s, "
-        f"streams of {mix.decode_s:.2f} s with {mix.held_tokens:.0f} tokens"
+        f"{present.prefill_workers}+{present.decode_workers} serve {present.requests_per_s:.1f}/s, "
+        f"{best.prefill_workers}+{best.decode_workers} serve {best.requests_per_s:.1f}/s; "
+        f"prompts of {averages.prompt_tokens:.0f} tokens at {capacity.prefill_tokens_per_s:.0f}/s, "
+        f"streams of {averages.decode_s:.2f} s with {averages.mean_kv_tokens:.0f} tokens"
     )
--- a/src/croftchute/systems/stage_headroom.py
+++ b/src/croftchute/systems/stage_headroom.py
@@ -15,7 +15,11 @@
 
 from croftchute.systems import stage_search
 from croftchute.systems.prefill_timing import PrefillTiming
-from croftchute.systems.service_capacity import MEMORY_USE, PREFILL_USE, RequestMix
+from croftchute.systems.service_capacity import (
+    MAX_KV_UTILIZATION,
+    MAX_PREFILL_UTILIZATION,
+    RequestAverages,
+)
 from croftchute.systems.stage_balance import WINDOW_S, DemandCounts, StageChange
 from croftchute.systems.worker_belief import WorkerBelief
 from croftchute.tables.paces import PaceView, WorkKind
@@ -25,10 +29,10 @@
 """Aimed use of prefill workers: prompts go to the soonest of some that were just asked, so that
 their mean wait is under their prefill time up to about here; more would idle decode memory."""
 
-DECODE_AIM = MEMORY_USE
+DECODE_AIM = MAX_KV_UTILIZATION
 """Aimed use of decode memory: a request of average size does not fit the rest."""
 
-MAX_PREFILL_USE = PREFILL_USE
+MAX_DONOR_PREFILL_UTILIZATION = MAX_PREFILL_UTILIZATION
 """Highest use at which prefill workers are left by a change that gains decode memory."""
 
 MIN_GAIN = 0.1
@@ -37,7 +41,7 @@
 MAX_SHARE_AT_ONCE = 0.25
 """Share of the workers of a stage that change at once (at least one): they serve nobody then."""
 
-REVERSAL = 1.0 / 3.0
+MIN_REVERSAL_SHIFT = 1.0 / 3.0
 """Share by which the need must have turned before a recent change is undone: several times the
 error of the averages."""
 
@@ -120,8 +124,8 @@
         if stage is self.stage:
             return False
         if stage is Stage.PREFILL:
-            return need < (1.0 + REVERSAL) * self.need
-        return (1.0 + REVERSAL) * need > self.need
+            return need < (1.0 + MIN_REVERSAL_SHIFT) * self.need
+        return (1.0 + MIN_REVERSAL_SHIFT) * need > self.need
 
 
 @dataclass(kw_only=True)
@@ -284,23 +288,23 @@
     traits: EngineTraits,
 ) -> StageWork | None:
     """What all boxes are asked for each second; None if that is not known."""
-    mix = counts.mix
+    averages = counts.averages
     is_known = traits.kv_tokens > 0 and timing.tokens_per_s > 0.0 and math.isfinite(scale)
-    if mix is None or not is_known:
+    if averages is None or not is_known:
         return None
     rate = max(1.0, scale) * counts.asks / WINDOW_S
-    prefill_s = timing.overhead_s + mix.prompt_tokens / timing.tokens_per_s
-    share = max(mix.held_tokens / traits.kv_tokens, 1.0 / max(1, traits.slots))
-    decode_s = _usual_stream_s(mix, engines)
+    prefill_s = timing.overhead_s + averages.prompt_tokens / timing.tokens_per_s
+    share = max(averages.mean_kv_tokens / traits.kv_tokens, 1.0 / max(1, traits.slots))
+    decode_s = _usual_stream_s(averages, engines)
     work = StageWork(
         prefill=rate * prefill_s,
         decode=rate * share * decode_s,
-        change_s=traits.switch_s + mix.decode_s,
+        change_s=traits.switch_s + averages.decode_s,
     )
     return work if work.is_valid() else None
 
 
-def _usual_stream_s(mix: RequestMix, engines: Iterable[_Engine]) -> float:
+def _usual_stream_s(averages: RequestAverages, engines: Iterable[_Engine]) -> float:
     """The time of a stream at the usual pace.
 
     The mean over ended streams is that of the present decode workers: equally filled, they end
@@ -311,7 +315,7 @@
         for engine in engines
         if engine.belief.worker.stage is Stage.DECODE
     ]
-    return mix.decode_s * (sum(speeds) / len(speeds) if speeds else 1.0)
+    return averages.decode_s * (sum(speeds) / len(speeds) if speeds else 1.0)
 
 
 def _summed_speed(engines: Iterable[_Engine], stage: Stage) -> float:
@@ -356,7 +360,7 @@
     settled = [engine for engine in engines if not engine.is_arriving]
     limit = _use(settled, work).value
     if stage is Stage.DECODE:
-        limit = min(limit, MAX_PREFILL_USE / aim_by_stage[other])
+        limit = min(limit, MAX_DONOR_PREFILL_UTILIZATION / aim_by_stage[other])
     spare = _summed_speed(settled, other) - stage_search.ratio(asked_by_stage[other], limit)
     return stage_search.StageSearch(
         candidates=[
--- a/tests/forwarding/workers/test_stage_orders.py
+++ b/tests/forwarding/workers/test_stage_orders.py
@@ -9,7 +9,7 @@
 from croftchute.forwarding.workers import stage_orders
 from croftchute.forwarding.workers.stage_orders import LEASE_KEY, Turn
 from croftchute.router_settings import DecisionWays
-from croftchute.systems.service_capacity import EnginePower, SplitWay
+from croftchute.systems.service_capacity import EngineCapacity, SplitMode
 from croftchute.systems.stage_balance import StageChange, wanted_changes
 from croftchute.tables.routing import Stage
 
@@ -140,20 +140,20 @@
 
     async def body():
         async with fleet() as made:
-            box = await add_demand(made, monkeypatch, SplitWay.AUTO)
-            assert DecisionWays().split is SplitWay.AUTO
+            box = await add_demand(made, monkeypatch, SplitMode.AUTO)
+            assert DecisionWays().split is SplitMode.AUTO
             state, orders = box.state, box.orders
             found = orders.wanted()
-            state.ways = DecisionWays(split=SplitWay.FIXED_USE)
+            state.ways = DecisionWays(split=SplitMode.FIXED_USE)
             assert found and orders.wanted() == found
             engine = state.table.services_by_name["llm"].engine
-            power = EnginePower(
-                prefill_pace=state.prefill_pace("llm").tokens_per_s,
+            capacity = EngineCapacity(
+                prefill_tokens_per_s=state.prefill_pace("llm").tokens_per_s,
                 kv_tokens=engine.kv_tokens,
                 slots=engine.slots,
             )
             beliefs = state.workers.of_service("llm")
-            assert found == wanted_changes(beliefs, state.fleet_demand("llm"), power, ordered={})
+            assert found == wanted_changes(beliefs, state.fleet_demand("llm"), capacity, ordered={})
 
     run(body)
 
@@ -162,12 +162,12 @@
     """The same demand leaves both stages within their aims: nothing is ordered."""
 
     async def body():
-        for split in (SplitWay.AUTO, SplitWay.HEADROOM):
+        for split in (SplitMode.AUTO, SplitMode.HEADROOM):
             async with fleet() as made:
                 box = await add_demand(made, monkeypatch, split)
                 box.state.paces.note_told("d0", 1.0, box.state.clock())
                 box.state._tells_pace_by_service.clear()
-                assert box.orders.split_way("llm") is SplitWay.HEADROOM
+                assert box.orders.split_way("llm") is SplitMode.HEADROOM
                 assert box.orders.wanted() == []
 
     run(body)
@@ -185,7 +185,7 @@
             change = StageChange(worker=worker, stage=Stage.DECODE, reason="test")
             urgent = replace(change, is_urgent=True)
             found = []
-            for split in (SplitWay.FIXED_USE, SplitWay.HEADROOM):
+            for split in (SplitMode.FIXED_USE, SplitMode.HEADROOM):
                 box.state.ways = DecisionWays(split=split)
                 found.append([box.orders._lasts_s(each) for each in (change, urgent)])
             assert found == [[0.4, 0.4], [5.0, 0.4]]
--- a/tests/platform_adapter/test_load_probe.py
+++ b/tests/platform_adapter/test_load_probe.py
@@ -12,7 +12,7 @@
 from croftchute.forwarding.workers.load_probe import PROBE_TIMEOUT_S, probe_loads
 from croftchute.forwarding.workers.prompt_reader import PromptReader
 from croftchute.forwarding.workers.request_run import RequestRun
-from croftchute.systems.predicted_end import PlacementWay
+from croftchute.systems.predicted_end import PlacementMode
 from croftchute.systems.worker_choice import choose
 from croftchute.tables.routing import RequestFacts, Stage
 
@@ -28,7 +28,7 @@
     return made
 
 
-async def probed(made, *, prefills=3, decodes=1, way=PlacementWay.BY_END):
+async def probed(made, *, prefills=3, decodes=1, way=PlacementMode.BY_END):
     """A box that places by end, before idle engines that tell their pace."""
     for number in range(decodes):
         await made.add_worker(f"d{number}", service="llm", stage="decode")
@@ -316,14 +316,14 @@
     run(body)
 
 
-@pytest.mark.parametrize("way", [PlacementWay.AUTO, PlacementWay.BY_COST])
+@pytest.mark.parametrize("way", [PlacementMode.AUTO, PlacementMode.BY_COST])
 def test_nothing_is_probed_where_no_pace_is_told_or_by_cost(way):
     """Guards against calls that services without a pace never got before."""
 
     async def body():
         async with fleet(config=probed_config()) as made:
             box, prefill = await probed(made, way=way)
-            if way is PlacementWay.BY_COST:
+            if way is PlacementMode.BY_COST:
                 box.state.paces.note_told("p0", 2.0, box.state.clock())
             assert (await ask(box, "/stream/x")).is_whole
             assert all(probes(worker) == [] for worker in prefill)
@@ -336,7 +336,7 @@
 
     async def body():
         async with fleet(config=probed_config()) as made:
-            box, prefill = await probed(made, way=PlacementWay.AUTO)
+            box, prefill = await probed(made, way=PlacementMode.AUTO)
             box.state.paces.note_told("p0", 2.0, box.state.clock())
             assert (await ask(box, "/stream/x")).is_whole
             assert [len(probes(worker)) for worker in prefill] == [1, 1, 1]
@@ -402,7 +402,7 @@
             workers[0].load, workers[0].work_s = "0,0,8,500", 0.05
             box = await made.add_box()
             await made.ready(box)
-            by_end = msgspec.structs.replace(box.state.ways, placement=PlacementWay.BY_END)
+            by_end = msgspec.structs.replace(box.state.ways, placement=PlacementMode.BY_END)
             box.state.ways = by_end
             seen = watch(box)
             for number in range(60):
--- a/tests/systems/test_stage_balance.py
+++ b/tests/systems/test_stage_balance.py
@@ -1,28 +1,29 @@
-from croftchute.systems.service_capacity import EnginePower, RequestMix, best_split
+from croftchute.systems.service_capacity import EngineCapacity, RequestAverages, best_split
 from croftchute.systems.stage_balance import DemandCounts, StageDemand, wanted_changes
 from croftchute.systems.worker_table import WorkerTable
 from croftchute.tables.routing import Stage, Worker, WorkerState
 
-POWER = EnginePower(prefill_pace=30_000.0, kv_tokens=40_000, slots=64)
-LONG = RequestMix(prompt_tokens=9_100, output_tokens=800, token_s=0.0033)
-SMALL_ENGINES = {"prefill_pace": 33_000.0, "kv_tokens": 26_000, "slots": 16}
+CAPACITY = EngineCapacity(prefill_tokens_per_s=30_000.0, kv_tokens=40_000, slots=64)
+LONG = RequestAverages(prompt_tokens=9_100, output_tokens=800, output_token_s=0.0033)
+SMALL_ENGINES = {"prefill_tokens_per_s": 33_000.0, "kv_tokens": 26_000, "slots": 16}
 """Engines of 26,000 tokens under prompts of 9,100 in the mean, as seen at a service of 70."""
 
 
 def test_prefill_workers_keep_time_to_read_long_prompts_within_the_target():
     """With three of fifteen, busy to 0.98, a tenth of the prompts were given up after 640 ms."""
-    fixed = best_split(15, LONG, EnginePower(**SMALL_ENGINES))
-    by_target = best_split(15, LONG, EnginePower(**SMALL_ENGINES, read_limit_s=0.55))
-    assert by_target.prefills == fixed.prefills + 1
-    assert by_target.rate > 0.85 * fixed.rate
+    fixed = best_split(15, LONG, EngineCapacity(**SMALL_ENGINES))
+    by_target = best_split(15, LONG, EngineCapacity(**SMALL_ENGINES, prefill_limit_s=0.55))
+    assert by_target.prefill_workers == fixed.prefill_workers + 1
+    assert by_target.requests_per_s > 0.85 * fixed.requests_per_s
 
 
 def test_where_prompts_are_read_quickly_the_target_changes_nothing():
-    quick = RequestMix(prompt_tokens=3_000, output_tokens=800, token_s=0.004)
+    quick = RequestAverages(prompt_tokens=3_000, output_tokens=800, output_token_s=0.004)
     for workers in (5, 9, 70):
-        without = best_split(workers, quick, EnginePower(**SMALL_ENGINES))
+        without = best_split(workers, quick, EngineCapacity(**SMALL_ENGINES))
         assert (
-            best_split(workers, quick, EnginePower(**SMALL_ENGINES, read_limit_s=0.55)) == without
+            best_split(workers, quick, EngineCapacity(**SMALL_ENGINES, prefill_limit_s=0.55))
+            == without
         )
 
 
@@ -57,7 +58,7 @@
 
 
 def changes(found, counts, *, ordered=None):
-    wanted = wanted_changes(found, counts, POWER, ordered=ordered or {})
+    wanted = wanted_changes(found, counts, CAPACITY, ordered=ordered or {})
     return [(change.worker.id, change.stage) for change in wanted]
 
 
--- a/tests/systems/test_stage_headroom.py
+++ b/tests/systems/test_stage_headroom.py
@@ -11,8 +11,8 @@
 from croftchute.systems.prefill_timing import PrefillTiming
 from croftchute.systems.stage_balance import WINDOW_S, DemandCounts
 from croftchute.systems.stage_headroom import (
-    MAX_PREFILL_USE,
-    REVERSAL,
+    MAX_DONOR_PREFILL_UTILIZATION,
+    MIN_REVERSAL_SHIFT,
     StageHeadroom,
 )
 from croftchute.systems.stage_search import Candidate, Side, StageSearch
@@ -94,7 +94,7 @@
     )
 
 
-def prefill_use(rate, speed, *, prompt=5_200):
+def prefill_utilization(rate, speed, *, prompt=5_200):
     return rate * (TIMING.overhead_s + prompt / TIMING.tokens_per_s) / speed
 
 
@@ -200,7 +200,10 @@
         assert number <= max(1, total // 4) and (number == 0 or number < total)
     if any(change.stage is Stage.DECODE for change in changes):
         left = service.speed(Stage.PREFILL, without=ids)
-        assert prefill_use(counts.asks / WINDOW_S, left) <= MAX_PREFILL_USE + 1e-6
+        assert (
+            prefill_utilization(counts.asks / WINDOW_S, left)
+            <= MAX_DONOR_PREFILL_UTILIZATION + 1e-6
+        )
 
 
 def test_long_streams_take_prefill_workers_that_have_time():
@@ -374,7 +377,7 @@
                 if now < until and not change.is_urgent:
                     assert stage is not change.stage
                     turned = prefill / need if change.stage is Stage.PREFILL else need / prefill
-                    assert turned >= (1.0 + REVERSAL) * (1.0 - 1e-6)
+                    assert turned >= (1.0 + MIN_REVERSAL_SHIFT) * (1.0 - 1e-6)
                 service.headroom.note_ordered(worker_id, change.stage, now)
                 service.ordered[worker_id] = change.stage
                 done_at_by_id[worker_id] = now + TRAITS.switch_s + stream_s
