--- a/src/croftchute/forwarding/state.py
+++ b/src/croftchute/forwarding/state.py
@@ -25,13 +25,13 @@
 from croftchute.systems.peer_table import PeerTable
 from croftchute.systems.plain_queue import WorkTimesByService
 from croftchute.systems.predicted_end import UsualTimes
-from croftchute.systems.prefill_pace import PrefillPace, fit_pace
+from croftchute.systems.prefill_timing import PrefillTiming, fit_prefill_timing
 from croftchute.systems.request_rank import RequestRanks
 from croftchute.systems.retry_budget import RetryLimits, RetryWindow
 from croftchute.systems.room_forecast import RoomHistory
 from croftchute.systems.room_order import OrderMode, RoomView, RoomWaitsByRank
 from croftchute.systems.size_lanes import lane_share
-from croftchute.systems.stage_balance import DemandCounts, StageDemand
+from croftchute.systems.stage_balance import DemandCounts, RecentDemand
 from croftchute.systems.worker_belief import WorkerBelief
 from croftchute.systems.worker_pace import WorkerPaces
 from croftchute.systems.worker_table import WorkerTable
@@ -91,7 +91,7 @@
 class _KnownPace:
     """A pace, and when it was worked out."""
 
-    pace: PrefillPace
+    pace: PrefillTiming
     at: float
 
 
@@ -128,7 +128,7 @@
     pool: ConnectionPool = field(default_factory=ConnectionPool)
     knowledge_limits: SilenceLimits = KNOWLEDGE
     budgets_by_service: dict[str, RetryWindow] = field(default_factory=dict)
-    demand_by_service: dict[str, StageDemand] = field(default_factory=dict)
+    demand_by_service: dict[str, RecentDemand] = field(default_factory=dict)
     room_by_service: dict[str, RoomHistory] = field(default_factory=dict)
     ranked_room_by_service: dict[str, RoomWaitsByRank] = field(default_factory=dict)
     ways: DecisionWays = DecisionWays()
@@ -191,9 +191,9 @@
             self._lane_by_service[service] = known
         return known.share
 
-    def demand(self, service: str) -> StageDemand:
+    def demand(self, service: str) -> RecentDemand:
         """What was asked of a service at this box."""
-        return self.demand_by_service.setdefault(service, StageDemand())
+        return self.demand_by_service.setdefault(service, RecentDemand())
 
     def room(self, service: str) -> RoomHistory:
         """What requests waited for room at the engines of a service, at this box."""
@@ -204,14 +204,14 @@
         now = self.clock()
         return (self.room(service).counts(now) + self.peers.room(service, now)).mean_wait_s
 
-    def prefill_pace(self, service: str) -> PrefillPace:
+    def prefill_pace(self, service: str) -> PrefillTiming:
         """How quickly the prefill workers of a service read, by the latest calls of all boxes."""
         now = self.clock()
         known = self._pace_by_service.get(service)
         if known is not None and now - known.at < PACE_KEPT_S:
             return known.pace
         samples = [*self.demand(service).prefills, *self.peers.prefills(service, now)]
-        found = fit_pace(samples) if samples or known is None else known.pace
+        found = fit_prefill_timing(samples) if samples or known is None else known.pace
         self._pace_by_service[service] = _KnownPace(pace=found, at=now)
         return found
 
@@ -219,8 +219,8 @@
         """How long a prompt would wait at a prefill worker, by this box's own calls."""
         if belief.worker.stage is not Stage.PREFILL:
             return 0.0
-        pace = self.prefill_pace(belief.worker.service)
-        return belief.queue.wait_s(pace=pace, now=self.clock())
+        timing = self.prefill_pace(belief.worker.service)
+        return belief.queue.wait_s(timing=timing, now=self.clock())
 
     def prefill_wait_s(self, belief: WorkerBelief) -> float:
         """The same by what all boxes know."""
@@ -329,7 +329,7 @@
         known = self._tells_pace_by_service.get(service)
         if known is None or now - known[1] >= LANE_KEPT_S:
             ids = [belief.worker.id for belief in self.workers.of_service(service)]
-            known = (self.paces.is_told(ids, now), now)
+            known = (self.paces.any_reported(ids, now), now)
             self._tells_pace_by_service[service] = known
         return known[0]
 
--- a/src/croftchute/forwarding/workers/stage_orders.py
+++ b/src/croftchute/forwarding/workers/stage_orders.py
@@ -17,9 +17,9 @@
 from croftchute.forwarding.state import ForwardingState
 from croftchute.forwarding.workers.worker_control import give_stage_order
 from croftchute.storage.watched import LeaseStore
-from croftchute.systems.service_capacity import READ_SHARE_OF_TARGET, EnginePower, SplitWay
-from croftchute.systems.stage_balance import StageChange, wanted_changes
-from croftchute.systems.stage_headroom import StageHeadroom
+from croftchute.systems.service_capacity import PREFILL_SHARE_OF_TARGET, EngineCapacity, SplitMode
+from croftchute.systems.stage_balance import StageChange, plan_stage_changes
+from croftchute.systems.stage_headroom import HeadroomPlanner
 from croftchute.systems.worker_belief import WorkerBelief
 from croftchute.tables.routing import EngineTraits, RoutingTable, Service, Stage
 
@@ -114,7 +114,7 @@
         self._renew_at = 0.0
         self._orders_by_worker: dict[str, _Order] = {}
         self._wanted_since: dict[tuple[str, Stage], tuple[float, float]] = {}
-        self._headroom_by_service: dict[str, StageHeadroom] = {}
+        self._planner_by_service: dict[str, HeadroomPlanner] = {}
 
     async def run(self) -> None:
         """Look again and again; never returns."""
@@ -157,35 +157,35 @@
         """The changes that one service needs at the moment."""
         beliefs = self._staying(service.name)
         counts = self.state.fleet_demand(service.name)
-        pace = self.state.prefill_pace(service.name)
-        ordered = self._ordered() | self._resting(beliefs)
-        if self.split_way(service.name) is SplitWay.HEADROOM:
+        timing = self.state.prefill_pace(service.name)
+        pending_stages = self._ordered() | self._resting(beliefs)
+        if self.split_way(service.name) is SplitMode.HEADROOM:
             now = self.state.clock()
-            headroom = self._headroom_by_service.setdefault(service.name, StageHeadroom())
-            return headroom.wanted(
+            planner = self._planner_by_service.setdefault(service.name, HeadroomPlanner())
+            return planner.plan_changes(
                 beliefs,
                 counts,
                 scale=self.state.boxes / (1 + self.state.peers.fresh_boxes(now)),
-                pace=pace,
+                timing=timing,
                 traits=traits,
                 paces=self.state.paces,
-                ordered=_changing(beliefs, now) | ordered,
+                pending_stages=_changing(beliefs, now) | pending_stages,
                 now=now,
             )
-        power = EnginePower(
-            prefill_pace=pace.pace,
+        capacity = EngineCapacity(
+            prefill_tokens_per_s=timing.tokens_per_s,
             kv_tokens=traits.kv_tokens,
             slots=traits.slots,
-            read_limit_s=self._read_limit_s(table, service.name),
+            prefill_limit_s=self._read_limit_s(table, service.name),
         )
-        return wanted_changes(beliefs, counts, power, ordered=ordered)
+        return plan_stage_changes(beliefs, counts, capacity, pending_stages=pending_stages)
 
-    def split_way(self, service: str) -> SplitWay:
+    def split_way(self, service: str) -> SplitMode:
         """How the engines of a service are split at the moment; never ``auto``."""
         way = self.state.ways.split
-        if way is not SplitWay.AUTO:
+        if way is not SplitMode.AUTO:
             return way
-        return SplitWay.HEADROOM if self.state.tells_pace(service) else SplitWay.FIXED_USE
+        return SplitMode.HEADROOM if self.state.tells_pace(service) else SplitMode.FIXED_USE
 
     def _staying(self, service: str) -> list[WorkerBelief]:
         """The workers of a service that did not say that they leave."""
@@ -207,9 +207,9 @@
     def _read_limit_s(self, table: RoutingTable, service: str) -> float:
         """The time in which prompts of a service should be read; 0 where that is not looked at."""
         targets = table.stream_targets(service)
-        if self.split_way(service) is not SplitWay.BY_TARGET or not targets:
+        if self.split_way(service) is not SplitMode.BY_TARGET or not targets:
             return 0.0
-        return READ_SHARE_OF_TARGET * min(targets)
+        return PREFILL_SHARE_OF_TARGET * min(targets)
 
     def _ordered(self) -> dict[str, Stage]:
         """Stages of workers whose orders are on their way; forgets orders that are not."""
@@ -234,7 +234,7 @@
 
     def _lasts_s(self, change: StageChange) -> float:
         """For how long a change must have been wanted, in seconds."""
-        is_patient = self.split_way(change.worker.service) is SplitWay.HEADROOM
+        is_patient = self.split_way(change.worker.service) is SplitMode.HEADROOM
         if change.is_urgent or (change.stage is Stage.DECODE and not is_patient):
             return LASTS_S
         return PREFILL_LASTS_S
@@ -303,9 +303,9 @@
         except ExchangeError as error:
             # It may still be carried out: it counts as if it had been answered.
             outcome = error.code.value
-        headroom = self._headroom_by_service.get(change.worker.service)
-        if headroom is not None and worker_id in self._orders_by_worker:
-            headroom.note_ordered(worker_id, change.stage, order.at)
+        planner = self._planner_by_service.get(change.worker.service)
+        if planner is not None and worker_id in self._orders_by_worker:
+            planner.note_ordered(worker_id, change.stage, order.at)
         self._log(outcome, change, turn)
 
     def _note_changing(self, change: StageChange) -> None:
--- a/src/croftchute/router_settings.py
+++ b/src/croftchute/router_settings.py
@@ -8,9 +8,9 @@
 import msgspec
 
 from croftchute.errors import Code, DocumentError, Fault
-from croftchute.systems.predicted_end import PlacementWay
+from croftchute.systems.predicted_end import PlacementMode
 from croftchute.systems.room_order import OrderMode
-from croftchute.systems.service_capacity import SplitWay
+from croftchute.systems.service_capacity import SplitMode
 from croftchute.systems.size_lanes import RoomMode
 from croftchute.systems.timeouts import HoldMode, ReturnMode
 from croftchute.tables.organisations import LimitWay
@@ -64,11 +64,11 @@
 
     limits: LimitWay = LimitWay.POOLED
     room: RoomMode = RoomMode.LANES
-    split: SplitWay = SplitWay.AUTO
+    split: SplitMode = SplitMode.AUTO
     returns: ReturnMode = ReturnMode.RETURNED_FIRST
     hold: HoldMode = HoldMode.LIKELY
     order: OrderMode = OrderMode.AUTO
-    placement: PlacementWay = PlacementWay.AUTO
+    placement: PlacementMode = PlacementMode.AUTO
 
 
 class Conditions(msgspec.Struct, frozen=True, kw_only=True):
