--- a/src/croftchute/systems/held_bytes.py
+++ b/src/croftchute/systems/held_bytes.py
@@ -124,8 +124,7 @@
         return self.bounds is not None and self.total > self.bounds.box_bytes
 
     def end_largest(self, now: float) -> EndedStream | None:
-        """Close and return the answer that holds the most if the box's bound is exceeded, else
-        None.
+        """Close and return the largest answer, or None if the box's bound is not exceeded.
 
         Of equal answers it closes the one that was opened first. The answer that grew last is among
         the candidates, so ending one is enough unless the bounds were lowered.
--- a/src/croftchute/systems/room_forecast.py
+++ b/src/croftchute/systems/room_forecast.py
@@ -36,8 +36,8 @@
 """Seconds that callers wait for a stream to start in any case."""
 
 MAX_LATE_WAIT_SHARE = 0.5
-"""Share of the caller's timeout after which a request stops waiting for room. Reading the prompt
-and the first event fit into the rest, with a margin for queues."""
+"""Share of the caller's timeout after which a late request stops waiting for room. Reading the
+prompt and the first event fit into the rest, with a margin for queues."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
--- a/src/croftchute/systems/size_lanes.py
+++ b/src/croftchute/systems/size_lanes.py
@@ -23,11 +23,11 @@
 """Largest share of the decode workers that the lane may have."""
 
 FAIR_GRANT_RATIO = 0.75
-"""Ratio of the grant rate of large requests to that of all from which on they need no lane."""
+"""Ratio of the grant rate of large requests to that of all at which they need no lane."""
 
 LANE_GAIN = 3.0
-"""Fraction of the full lane per unit by which the grant ratio falls short of the fair one. The lane
-has its full size where the ratio is below 0.42. In bursts this keeps the ratio at 0.55."""
+"""Factor from the shortfall of the grant ratio to the fraction of the full lane that is reserved.
+The lane has its full size where the ratio is below 0.42. In bursts this keeps the ratio at 0.55."""
 
 MIN_REQUESTS = 10
 """Fewest requests, large and others, to judge by."""
@@ -36,10 +36,14 @@
 """Fewest large requests to judge by."""
 
 LANE_HASH_KEY = "large requests"
+"""Key of the rendezvous hash that ranks the workers for the lane; the same at all boxes."""
 
 
 class RoomMode(StrEnum):
-    """Whether decode memory is shared by request size: with a lane for large requests, or not."""
+    """How decode memory is shared between requests of different sizes.
+
+    ``lanes`` reserves workers for large requests, ``blind`` ignores the size.
+    """
 
     LANES = "lanes"
     BLIND = "blind"
--- a/src/croftchute/systems/timeouts.py
+++ b/src/croftchute/systems/timeouts.py
@@ -19,7 +19,10 @@
 
 
 class HoldMode(StrEnum):
-    """How much decode memory is reserved for a stream: its likely size, or more."""
+    """Size of a hold, the decode memory that a worker reserves for a stream before it starts.
+
+    ``likely`` covers the likely output, ``ample`` more than that.
+    """
 
     LIKELY = "likely"
     AMPLE = "ample"
@@ -30,8 +33,8 @@
 then fit into the target."""
 
 FIRST_EVENT_SHARE_OF_TARGET = 0.6
-"""Share of the target that a decode worker has for its first event if the stream can be moved: the
-rest suffices for another worker to read the prompt."""
+"""Share of the target that a decode worker has for its first event if the stream can be resumed
+elsewhere: the rest suffices for another worker to read the prompt."""
 
 TYPICAL_ANSWER_MULTIPLE = 3.0
 """Multiple of a worker's usual answer time that a repeatable call may take, where that is longer.
@@ -54,7 +57,7 @@
 eight."""
 
 MIN_GAP_TIMEOUT_S = 0.6
-"""Least gap that a stream may have: most preempted streams go on within it."""
+"""Shortest gap after which a stream counts as stuck: most preempted streams go on within it."""
 
 PREFILL_FULL_TOKENS = 12_000
 """Prompt tokens in flight at which a prefill worker costs as much as a full one: three prompts."""
@@ -73,8 +76,8 @@
 """Multiple of the target gap that callers tolerate, where that is longer."""
 
 MAX_CALLER_GAP_SHARE = 0.75
-"""Share of the gap that callers tolerate after which a stream is moved, however slow its worker is.
-The rest is for a hold elsewhere and the next event."""
+"""Share of the gap that callers tolerate after which a stream is resumed elsewhere, however slow
+its worker is. The rest is for a hold there and the next event."""
 
 CONNECT_TIMEOUT_S = 0.25
 """Timeout of a connection attempt: many round trips, and a small part of any target."""
@@ -153,7 +156,7 @@
 
 
 def first_event_timeout_s(route: Route, *, time_left_s: float) -> float:
-    """Return how long the first event of a stream that can be moved may take."""
+    """Return how long the first event of a stream that can be resumed elsewhere may take."""
     return min(FIRST_EVENT_SHARE_OF_TARGET * route.target_s, time_left_s)
 
 
@@ -184,7 +187,7 @@
 
 
 def gap_timeout_s(route: Route, *, time_left_s: float, usual_gap_s: float = 0.0) -> float:
-    """Return how long a stream that can be resumed may send nothing before it is moved.
+    """Return how long a stream that can be resumed may send nothing before it is resumed elsewhere.
 
     ``usual_gap_s`` is the usual gap between events at its worker, 0 if it is not known.
     """
@@ -245,8 +248,8 @@
     if is_begun:
         return RETURN_POLL_INTERVAL_S
     if mode is ReturnMode.RETURNED_FIRST:
-        has_come_back = since_first_try_s > (1.0 - FIRST_TRY_MIN_TIME_SHARE) * route.timeout_s
-        return RETURN_POLL_INTERVAL_S if has_come_back else FIRST_TRY_POLL_INTERVAL_S
+        is_returning = since_first_try_s > (1.0 - FIRST_TRY_MIN_TIME_SHARE) * route.timeout_s
+        return RETURN_POLL_INTERVAL_S if is_returning else FIRST_TRY_POLL_INTERVAL_S
     return LATE_POLL_INTERVAL_S if since_first_try_s >= route.target_s else IN_TIME_POLL_INTERVAL_S
 
 
--- a/tests/systems/test_ranked_room_wait.py
+++ b/tests/systems/test_ranked_room_wait.py
@@ -103,7 +103,7 @@
 
 @pytest.mark.parametrize("error", [asyncio.CancelledError, RuntimeError])
 def test_a_request_that_fails_while_waiting_is_not_counted_as_waiting(monkeypatch, error):
-    """Guards against the same if the caller leaves, or a poll for room raises."""
+    """Guards against a request that stays counted if its caller leaves or a poll raises."""
     harness = RoomHarness(monkeypatch)
     seen = []
 
--- a/tests/systems/test_room_forecast.py
+++ b/tests/systems/test_room_forecast.py
@@ -22,25 +22,25 @@
 )
 
 
-def wait(elapsed_s, *, time_left_s=14.0, reading_s=0.2):
+def room_wait(elapsed_s, *, time_left_s=14.0, reading_s=0.2):
     return RoomWait(elapsed_s=elapsed_s, time_left_s=time_left_s, reading_s=reading_s)
 
 
 def test_a_request_waits_while_it_is_likely_to_be_in_time():
-    assert wait(0.0).is_worthwhile(ROUTE, mean_wait_s=0.6)
-    assert wait(0.5).is_worthwhile(ROUTE, mean_wait_s=0.15)
+    assert room_wait(0.0).is_worthwhile(ROUTE, mean_wait_s=0.6)
+    assert room_wait(0.5).is_worthwhile(ROUTE, mean_wait_s=0.15)
 
 
 def test_a_request_that_will_not_be_served_is_refused_at_once():
     """It used to wait a fifth of its target in any case, and half of it after a return."""
-    assert not wait(0.0).is_worthwhile(ROUTE, mean_wait_s=5.0)
-    assert not wait(0.0, time_left_s=0.3).is_worthwhile(ROUTE, mean_wait_s=0.2)
+    assert not room_wait(0.0).is_worthwhile(ROUTE, mean_wait_s=5.0)
+    assert not room_wait(0.0, time_left_s=0.3).is_worthwhile(ROUTE, mean_wait_s=0.2)
 
 
 def test_a_late_request_waits_only_if_room_is_near_and_its_caller_still_waits():
-    assert wait(1.0).is_worthwhile(ROUTE, mean_wait_s=0.4)
-    assert not wait(1.0).is_worthwhile(ROUTE, mean_wait_s=MAX_LATE_MEAN_WAIT_S + 0.1)
-    assert not wait(caller_timeout_s(ROUTE) / 2).is_worthwhile(ROUTE, mean_wait_s=0.4)
+    assert room_wait(1.0).is_worthwhile(ROUTE, mean_wait_s=0.4)
+    assert not room_wait(1.0).is_worthwhile(ROUTE, mean_wait_s=MAX_LATE_MEAN_WAIT_S + 0.1)
+    assert not room_wait(caller_timeout_s(ROUTE) / 2).is_worthwhile(ROUTE, mean_wait_s=0.4)
 
 
 def test_the_caller_timeout_is_four_targets():
--- a/tests/systems/test_room_order.py
+++ b/tests/systems/test_room_order.py
@@ -36,8 +36,10 @@
 RETURN_MODES = (ReturnMode.IN_TIME_FIRST, ReturnMode.RETURNED_FIRST)
 
 
-def poll_interval(mode, before_s, *, is_begun=False):
-    return timeouts.room_poll_interval_s(ROUTE, mode, since_first_try_s=before_s, is_begun=is_begun)
+def poll_interval(mode, since_first_try_s, *, is_begun=False):
+    return timeouts.room_poll_interval_s(
+        ROUTE, mode, since_first_try_s=since_first_try_s, is_begun=is_begun
+    )
 
 
 def test_requests_that_can_be_in_time_poll_four_times_as_often_as_late_ones():
@@ -84,8 +86,7 @@
 
 @pytest.mark.parametrize("boxes", [8, 61, 360])
 def test_urgent_ranks_are_served_in_a_burst_of_the_least_urgent_rank(boxes):
-    """Without an order, whoever polled next got room, so the rank with the longest target fared
-    best.
+    """Without an order the rank with the longest target fares best: whoever polls next gets room.
 
     The two urgent ranks ask for 0.6 of the room. At least four of five requests of the first and
     two of three of the second have to get it.
@@ -160,22 +161,22 @@
 
 @pytest.mark.parametrize("invalid", [math.nan, math.inf, -math.inf, -1.0, -1e300, 1e300])
 def test_invalid_values_from_a_peer_are_ignored(invalid):
-    """A sum with -1 grants used to be divided by zero, NaN refused all requests of the service, and
-    infinite seconds held back all but the most urgent rank.
+    """With -1 grants the mean wait used to divide by zero, NaN had all requests of the service
+    refused, and infinite seconds held back all but the most urgent rank.
     """
     known = [RankRoomNotice(rank=1, waited_s=3.0, grants=2.0, waiting=1)]
     for waited_s, grants in ((invalid, 1.0), (1.0, invalid), (invalid, invalid)):
         for rank in (0, 1, 2):
-            row = RankRoomNotice(rank=rank, waited_s=waited_s, grants=grants, waiting=1)
-            assert RoomView.of([*known, row]) == RoomView.of(known)
+            notice = RankRoomNotice(rank=rank, waited_s=waited_s, grants=grants, waiting=1)
+            assert RoomView.of([*known, notice]) == RoomView.of(known)
 
 
 @pytest.mark.parametrize("rank, waiting", [(MAX_ROOM_RANKS, 1), (255, 1), (-1, 1), (1, -5)])
 def test_invalid_ranks_and_counts_from_a_peer_are_ignored(rank, waiting):
     """Guards against state that grows with what peers report, and against negative counts."""
     known = [RankRoomNotice(rank=1, waited_s=3.0, grants=2.0, waiting=1)]
-    row = RankRoomNotice(rank=rank, waited_s=9.0, grants=0.0, waiting=waiting)
-    assert RoomView.of([*known, row]) == RoomView.of(known)
+    notice = RankRoomNotice(rank=rank, waited_s=9.0, grants=0.0, waiting=waiting)
+    assert RoomView.of([*known, notice]) == RoomView.of(known)
 
 
 @given(st.integers(-1_000, 1_000), st.integers(1, 10), st.booleans(), st.booleans())
--- a/tests/systems/test_size_lanes.py
+++ b/tests/systems/test_size_lanes.py
@@ -18,8 +18,8 @@
 KV_TOKENS = 26_000
 ENGINES = 20
 STREAM_S = 3.0
-WAIT_S = 0.6
-POLL_S = 0.1
+MAX_WAIT_S = 0.6
+POLL_INTERVAL_S = 0.1
 RUN_S = 120.0
 
 
@@ -47,19 +47,19 @@
             tokens = int(min(25_000, max(1500, rng.lognormvariate(8.95, 0.6))))
             large = is_large(tokens, KV_TOKENS)
             demand.note_ask(now, prompt_tokens=tokens, output_tokens=0, is_large=large)
-            waiting.append((next_at + WAIT_S, tokens))
+            waiting.append((next_at + MAX_WAIT_S, tokens))
             counts[large][0] += 1
             next_at += rng.expovariate(rate)
         share = lane_share(demand.counts(now), KV_TOKENS) if has_lanes else 0.0
         rng.shuffle(waiting)
-        left = []
+        still_waiting = []
         for until, tokens in waiting:
             large = is_large(tokens, KV_TOKENS)
             full = {engine for engine, room in free.items() if room < tokens}
-            places = lane_candidates(
+            candidates = lane_candidates(
                 beliefs, is_large_request=large, share=share, rejected_ids=full
             )
-            fits = [b.worker.id for b in places if free[b.worker.id] >= tokens]
+            fits = [b.worker.id for b in candidates if free[b.worker.id] >= tokens]
             if fits:
                 engine = rng.choice(fits)
                 free[engine] -= tokens
@@ -67,9 +67,9 @@
                 demand.note_granted(now, is_large=large)
                 counts[large][1] += 1
             elif now < until:
-                left.append((until, tokens))
-        waiting = left
-        now += POLL_S
+                still_waiting.append((until, tokens))
+        waiting = still_waiting
+        now += POLL_INTERVAL_S
     asked, served = (sum(c[n] for c in counts.values()) for n in (0, 1))
     return counts[True][1] / counts[True][0], served / asked
 
