--- a/src/croftchute/daemon/router_process.py
+++ b/src/croftchute/daemon/router_process.py
@@ -187,7 +187,7 @@
         """Whether the box should be sent new connections."""
         return (
             self.state.table is not None
-            and bool(self.state.workers.beliefs_by_id)
+            and bool(self.state.workers.tracked_by_id)
             and not self.is_stopping
         )
 
@@ -333,7 +333,7 @@
     def _sweep_limits(self, now: float) -> None:
         """Let go of limits of workers that are over, and count those that hold."""
         workers = self.state.workers
-        for worker_id in workers.limits.sweep(now, listed=workers.beliefs_by_id):
+        for worker_id in workers.limits.sweep(now, listed=workers.tracked_by_id):
             self.state.log.decide(Decision.WORKER_UNLIMITED, worker=worker_id)
         self.state.metrics.limited_workers.set({}, len(workers.limits.in_force(now)))
 
@@ -364,7 +364,7 @@
             Decision.READY_CHANGED,
             outcome="ready" if self.is_ready else "not_ready",
             config_version=self.state.table.version if self.state.table else 0,
-            workers=len(self.state.workers.beliefs_by_id),
+            workers=len(self.state.workers.tracked_by_id),
             is_stopping=self.is_stopping,
         )
 
--- a/src/croftchute/forwarding/boxes/peer_exchange.py
+++ b/src/croftchute/forwarding/boxes/peer_exchange.py
@@ -175,19 +175,19 @@
     def _notice(self, now: float) -> BoxNotice:
         state = self.state
         entries = []
-        for belief in state.workers.beliefs_by_id.values():
-            failures = belief.failure_score(now)
-            wait_s = state.own_prefill_wait_s(belief)
-            changing_s = max(0.0, belief.changing_until - now)
-            is_told = belief.in_flight or changing_s or wait_s > MIN_WAIT_TOLD_S
+        for tracked in state.workers.tracked_by_id.values():
+            failures = tracked.failure_score(now)
+            wait_s = state.own_prefill_wait_s(tracked)
+            changing_s = max(0.0, tracked.changing_until - now)
+            is_told = tracked.in_flight or changing_s or wait_s > MIN_WAIT_TOLD_S
             if is_told or failures > MIN_FAILURES_TOLD:
                 entries.append(
                     WorkerNotice(
-                        worker=belief.worker.id,
-                        in_flight=belief.in_flight,
+                        worker=tracked.worker.id,
+                        in_flight=tracked.in_flight,
                         failures=failures,
                         wait_s=wait_s,
-                        changing_to=belief.changing_to or "" if changing_s else "",
+                        changing_to=tracked.changing_to or "" if changing_s else "",
                         changing_s=changing_s,
                     )
                 )
@@ -237,9 +237,9 @@
 
     def _leaving_workers(self) -> tuple[str, ...]:
         """The workers that leave and are known here still, those last that said so last."""
-        beliefs_by_id = self.state.workers.beliefs_by_id
+        tracked_by_id = self.state.workers.tracked_by_id
         leaving = self.state.workers.wishes.leaving_by_id
-        return tuple(worker for worker in leaving if worker in beliefs_by_id)[-MAX_LEAVING_TOLD:]
+        return tuple(worker for worker in leaving if worker in tracked_by_id)[-MAX_LEAVING_TOLD:]
 
     def _hear(self, sender: str, notice: BoxNotice) -> None:
         now = self.state.clock()
--- a/src/croftchute/forwarding/state.py
+++ b/src/croftchute/forwarding/state.py
@@ -32,7 +32,7 @@
 from croftchute.systems.room_order import OrderWay, RankedRoom, RoomView
 from croftchute.systems.size_lanes import lane_share
 from croftchute.systems.stage_balance import DemandCounts, StageDemand
-from croftchute.systems.worker_belief import WorkerBelief
+from croftchute.systems.tracked_worker import TrackedWorker
 from croftchute.systems.worker_pace import WorkerPaces
 from croftchute.systems.worker_table import WorkerTable
 from croftchute.tables.organisations import LimitUnit
@@ -215,17 +215,17 @@
         self._pace_by_service[service] = _KnownPace(pace=found, at=now)
         return found
 
-    def own_prefill_wait_s(self, belief: WorkerBelief) -> float:
+    def own_prefill_wait_s(self, tracked: TrackedWorker) -> float:
         """How long a prompt would wait at a prefill worker, by this box's own calls."""
-        if belief.worker.stage is not Stage.PREFILL:
+        if tracked.worker.stage is not Stage.PREFILL:
             return 0.0
-        pace = self.prefill_pace(belief.worker.service)
-        return belief.queue.wait_s(pace=pace, now=self.clock())
+        pace = self.prefill_pace(tracked.worker.service)
+        return tracked.queue.wait_s(pace=pace, now=self.clock())
 
-    def prefill_wait_s(self, belief: WorkerBelief) -> float:
+    def prefill_wait_s(self, tracked: TrackedWorker) -> float:
         """The same by what all boxes know."""
-        told_s = self.peers.prefill_wait_s(belief.worker.id, self.clock())
-        return max(told_s, self.own_prefill_wait_s(belief))
+        told_s = self.peers.prefill_wait_s(tracked.worker.id, self.clock())
+        return max(told_s, self.own_prefill_wait_s(tracked))
 
     def note_position(self, at: int) -> None:
         """Something is known as of a position of the store; a newer era ends what hung on it."""
@@ -328,7 +328,7 @@
         now = self.clock()
         known = self._tells_pace_by_service.get(service)
         if known is None or now - known[1] >= LANE_KEPT_S:
-            ids = [belief.worker.id for belief in self.workers.of_service(service)]
+            ids = [tracked.worker.id for tracked in self.workers.of_service(service)]
             known = (self.paces.is_told(ids, now), now)
             self._tells_pace_by_service[service] = known
         return known[0]
--- a/src/croftchute/forwarding/store/store_follower.py
+++ b/src/croftchute/forwarding/store/store_follower.py
@@ -124,9 +124,9 @@
     def _known_workers(self) -> Listing:
         workers = self.state.workers
         items = tuple(
-            belief.item
-            for belief in workers.beliefs_by_id.values()
-            if belief.gone_at is None and belief.item is not None
+            tracked.item
+            for tracked in workers.tracked_by_id.values()
+            if tracked.gone_at is None and tracked.item is not None
         )
         return Listing(items=items, revision=workers.revision)
 
--- a/src/croftchute/forwarding/workers/crash_watch.py
+++ b/src/croftchute/forwarding/workers/crash_watch.py
@@ -28,15 +28,15 @@
 
     Workers that were leaving end as planned, whatever they run.
     """
-    belief = state.workers.beliefs_by_id.get(worker.id)
-    if belief is None or state.workers.wishes.is_leaving(worker.id):
+    tracked = state.workers.tracked_by_id.get(worker.id)
+    if tracked is None or state.workers.wishes.is_leaving(worker.id):
         return
     now = state.clock()
-    if belief.has_ended:
+    if tracked.has_ended:
         state.crashes.note_doubt(digest, worker.id, now)
         _settle(state, worker, RESTARTED, broke_at=now)
         return
-    if belief.gone_at is not None:
+    if tracked.gone_at is not None:
         return
     state.crashes.note_doubt(digest, worker.id, now)
     if worker.id not in state.lives_looked_at:
@@ -51,8 +51,8 @@
         connection = await open_connection(
             worker.host, worker.port, LOOK_S, limits=state.pool.limits
         )
-        belief = state.workers.beliefs_by_id.get(worker.id)
-        if belief is None or belief.has_ended:
+        tracked = state.workers.tracked_by_id.get(worker.id)
+        if tracked is None or tracked.has_ended:
             connection.abort()
             outcome = RESTARTED
         else:
--- a/src/croftchute/forwarding/workers/decode_room.py
+++ b/src/croftchute/forwarding/workers/decode_room.py
@@ -21,7 +21,7 @@
 from croftchute.systems import patience
 from croftchute.systems.patience import ReturnWay
 from croftchute.systems.room_forecast import RoomWait
-from croftchute.systems.worker_belief import WorkerBelief
+from croftchute.systems.tracked_worker import TrackedWorker
 from croftchute.systems.worker_choice import ChoiceInput
 from croftchute.tables.routing import EngineTraits, Stage, Worker
 
@@ -46,7 +46,7 @@
         self._permit_at: Worker | None = None
         self._use = RequestUse(run=run)
 
-    async def reserve(self) -> tuple[WorkerBelief, ChoiceInput] | None:
+    async def reserve(self) -> tuple[TrackedWorker, ChoiceInput] | None:
         """A decode worker that keeps room for the request, waiting for a while if all are full."""
         run = self.run
         self.code = None
@@ -132,7 +132,7 @@
         )
         return False
 
-    async def _ask_for_room(self) -> tuple[WorkerBelief, ChoiceInput] | None:
+    async def _ask_for_room(self) -> tuple[TrackedWorker, ChoiceInput] | None:
         """Ask the decode workers, the cheapest first; None if none has room."""
         run = self.run
         engine = run.engine
@@ -154,7 +154,9 @@
             if await self._hold_if_permitted(*found, engine):
                 return found
 
-    async def _room_in_place(self, engine: EngineTraits) -> tuple[WorkerBelief, ChoiceInput] | None:
+    async def _room_in_place(
+        self, engine: EngineTraits
+    ) -> tuple[TrackedWorker, ChoiceInput] | None:
         """Room at the worker that may still keep the request's cache."""
         same = self._same_worker()
         if same is None or not await self._hold_if_permitted(*same, engine):
@@ -162,18 +164,18 @@
         return same
 
     async def _hold_if_permitted(
-        self, belief: WorkerBelief, chosen: ChoiceInput, engine: EngineTraits
+        self, tracked: TrackedWorker, chosen: ChoiceInput, engine: EngineTraits
     ) -> bool:
         """Ask a worker for room if it takes that call, and the request behind it."""
-        if not await self.run.take_permit(belief, calls=HOLD_AND_REQUEST):
+        if not await self.run.take_permit(tracked, calls=HOLD_AND_REQUEST):
             return False
-        self._permit_at = belief.worker
-        is_held = await self._hold_at(belief, chosen, engine)
+        self._permit_at = tracked.worker
+        is_held = await self._hold_at(tracked, chosen, engine)
         if not is_held:
             self._give_permit_back()
         return is_held
 
-    def _same_worker(self) -> tuple[WorkerBelief, ChoiceInput] | None:
+    def _same_worker(self) -> tuple[TrackedWorker, ChoiceInput] | None:
         """The worker that the stream ran at: if it lives, it still keeps the prompt's cache."""
         worker_id, self.kept_at = self.kept_at, None
         if worker_id is None or self._resumed_in_place:
@@ -181,13 +183,13 @@
         self._resumed_in_place = True
         run = self.run
         usable = run.state.workers.usable(run.service, run.now, stage=Stage.DECODE)
-        for belief in usable:
-            if belief.worker.id == worker_id:
-                return belief, run.describe(belief, candidates=1)
+        for tracked in usable:
+            if tracked.worker.id == worker_id:
+                return tracked, run.describe(tracked, candidates=1)
         return None
 
     async def _hold_at(
-        self, belief: WorkerBelief, chosen: ChoiceInput, engine: EngineTraits
+        self, tracked: TrackedWorker, chosen: ChoiceInput, engine: EngineTraits
     ) -> bool:
         run = self.run
         facts = run.facts
@@ -200,25 +202,25 @@
         )
         outcome = "granted"
         try:
-            self.hold = await take_hold(run.state, belief.worker, tokens, engine.hold_ttl_s)
+            self.hold = await take_hold(run.state, tracked.worker, tokens, engine.hold_ttl_s)
             if self.hold is None:
                 outcome = "no_room"
-                run.full.add(belief.worker.id)
-                run.state.workers.note_full(belief.worker.id, run.now + patience.FULL_FOR_S)
-                self._note_full(belief)
+                run.full.add(tracked.worker.id)
+                run.state.workers.note_full(tracked.worker.id, run.now + patience.FULL_FOR_S)
+                self._note_full(tracked)
         except ExchangeError as error:
             outcome = error.code.value
             # A late one may have room once its link is less busy: asked again like a full one.
-            (run.full if error.code is Code.UPSTREAM_SLOW else run.avoid).add(belief.worker.id)
-            run.state.workers.note_failure(belief.worker.id, 1.0, run.now)
+            (run.full if error.code is Code.UPSTREAM_SLOW else run.avoid).add(tracked.worker.id)
+            run.state.workers.note_failure(tracked.worker.id, 1.0, run.now)
             self.detail = error.message
         run.log(
             Decision.HOLD_ASKED,
             outcome=outcome,
-            worker=belief.worker.id,
+            worker=tracked.worker.id,
             tokens=tokens,
             cost=chosen.cost,
-            own_tokens=belief.tokens_in_flight,
+            own_tokens=tracked.tokens_in_flight,
             failures=chosen.failures,
             **order_facts(run),
         )
@@ -242,6 +244,6 @@
             self.run.state.permits.give_back(self._permit_at)
             self._permit_at = None
 
-    def _note_full(self, belief: WorkerBelief) -> None:
+    def _note_full(self, tracked: TrackedWorker) -> None:
         self.code = Code.NO_CAPACITY
-        self.detail = f"no room at {belief.worker.id} and others"
+        self.detail = f"no room at {tracked.worker.id} and others"
--- a/src/croftchute/forwarding/workers/end_choice.py
+++ b/src/croftchute/forwarding/workers/end_choice.py
@@ -15,7 +15,7 @@
 from croftchute.systems.predicted_end import PlacementWay, UsualTimes
 from croftchute.systems.prefill_queue import ReadingTimes
 from croftchute.systems.service_capacity import OWN_READING_PACE
-from croftchute.systems.worker_belief import WorkerBelief
+from croftchute.systems.tracked_worker import TrackedWorker
 from croftchute.systems.worker_choice import (
     SAMPLE,
     ChoiceInput,
@@ -66,7 +66,9 @@
         """The service whose workers are compared."""
         return self.request.service
 
-    def choose(self, candidates: Sequence[WorkerBelief]) -> tuple[WorkerBelief, ChoiceInput] | None:
+    def choose(
+        self, candidates: Sequence[TrackedWorker]
+    ) -> tuple[TrackedWorker, ChoiceInput] | None:
         """A plain or decode worker, drawn at random with the sooner ones more often.
 
         Of many candidates some are looked at, as in choices by cost.
@@ -80,15 +82,15 @@
             left = by_affinity(left, affinity)[:SAMPLE] if affinity else rng.sample(left, SAMPLE)
         ends = self._ends(left)
         doubtful = {
-            belief.worker.id
-            for belief in left
-            if predicted_end.is_doubtful(belief, self.around, self.state.clock())
+            tracked.worker.id
+            for tracked in left
+            if predicted_end.is_doubtful(tracked, self.around, self.state.clock())
         }
         return self._chosen(left, ends, predicted_end.draw_by_end(ends, doubtful, rng))
 
     async def choose_prefill(
-        self, candidates: Sequence[WorkerBelief], *, wish: PermitWish | None
-    ) -> tuple[WorkerBelief, ChoiceInput] | None:
+        self, candidates: Sequence[TrackedWorker], *, wish: PermitWish | None
+    ) -> tuple[TrackedWorker, ChoiceInput] | None:
         """The soonest of some prefill workers drawn by speed and probed.
 
         ``wish`` is for permits of the probes; None asks for no probes. Without any answer to them
@@ -101,7 +103,7 @@
             now=state.clock(),
             least=predicted_end.PREFILL_CANDIDATES,
         )
-        speeds = {belief.worker.id: self._pace(belief).speed for belief in left}
+        speeds = {tracked.worker.id: self._pace(tracked).speed for tracked in left}
         drawn = predicted_end.draw(
             left, speeds=speeds, count=predicted_end.PREFILL_CANDIDATES, rng=state.rng
         )
@@ -116,43 +118,43 @@
         ends = self._ends(drawn)
         return self._chosen(drawn, ends, predicted_end.earliest(ends))
 
-    def _left(self, candidates: Sequence[WorkerBelief]) -> list[WorkerBelief]:
-        return [belief for belief in candidates if belief.worker.id not in self.avoid]
+    def _left(self, candidates: Sequence[TrackedWorker]) -> list[TrackedWorker]:
+        return [tracked for tracked in candidates if tracked.worker.id not in self.avoid]
 
     def _chosen(
-        self, compared: list[WorkerBelief], ends: dict[str, PredictedEnd], worker_id: str
-    ) -> tuple[WorkerBelief, ChoiceInput]:
-        best = next(belief for belief in compared if belief.worker.id == worker_id)
+        self, compared: list[TrackedWorker], ends: dict[str, PredictedEnd], worker_id: str
+    ) -> tuple[TrackedWorker, ChoiceInput]:
+        best = next(tracked for tracked in compared if tracked.worker.id == worker_id)
         now = self.state.clock()
         chosen = describe(best, self.around, now, candidates=len(compared))
         return best, replace(chosen, end=ends[worker_id])
 
-    def _pace(self, belief: WorkerBelief) -> PaceEstimate:
+    def _pace(self, tracked: TrackedWorker) -> PaceEstimate:
         kind = KIND_BY_STAGE[self.stage]
-        return self.state.paces.estimate(belief.worker.id, kind, self.state.clock())
+        return self.state.paces.estimate(tracked.worker.id, kind, self.state.clock())
 
-    def _ends(self, beliefs: list[WorkerBelief]) -> dict[str, PredictedEnd]:
+    def _ends(self, tracked_workers: list[TrackedWorker]) -> dict[str, PredictedEnd]:
         usual = usual_times(self.state, self.service)
-        return {belief.worker.id: self._end(belief, usual) for belief in beliefs}
+        return {tracked.worker.id: self._end(tracked, usual) for tracked in tracked_workers}
 
-    def _end(self, belief: WorkerBelief, usual: UsualTimes) -> PredictedEnd:
-        state, now, around, pace = self.state, self.state.clock(), self.around, self._pace(belief)
+    def _end(self, tracked: TrackedWorker, usual: UsualTimes) -> PredictedEnd:
+        state, now, around, pace = self.state, self.state.clock(), self.around, self._pace(tracked)
         if self.stage is Stage.PREFILL:
             tokens = self.request.facts.prompt_tokens
             reading = state.prefill_pace(self.service)
             return predicted_end.prefill_end(
-                belief,
+                tracked,
                 prompt_tokens=tokens,
                 usual=replace(usual, prompt_s=usual.prompt_s or reading.reading_s(tokens)),
                 reading=reading,
-                told_wait_s=state.peers.prefill_wait_s(belief.worker.id, now),
+                told_wait_s=state.peers.prefill_wait_s(tracked.worker.id, now),
                 around=around,
                 pace=pace,
                 now=now,
             )
         if self.stage is Stage.DECODE:
             return predicted_end.decode_end(
-                belief,
+                tracked,
                 usual=usual,
                 target_s=self.request.route.target_s,
                 target_gap_s=self.request.route.target_gap_s,
@@ -161,11 +163,11 @@
                 now=now,
             )
         usual_s = usual.answer_s or self.request.route.target_s
-        return predicted_end.plain_end(belief, usual_s=usual_s, around=around, pace=pace, now=now)
+        return predicted_end.plain_end(tracked, usual_s=usual_s, around=around, pace=pace, now=now)
 
 
 def reading_times(
-    end: PredictedEnd, decode: WorkerBelief, *, state: ForwardingState, prompt_tokens: int
+    end: PredictedEnd, decode: TrackedWorker, *, state: ForwardingState, prompt_tokens: int
 ) -> ReadingTimes:
     """Until when a prompt is read ahead by the worker of an end, or by its decode worker."""
     service = decode.worker.service
@@ -188,15 +190,17 @@
 
 
 def _usual_times(state: ForwardingState, service: str, now: float) -> UsualTimes:
-    beliefs = state.workers.of_service(service)
-    pauses = sorted(belief.pause_s for belief in beliefs if belief.pause_s > 0.0)
+    tracked_workers = state.workers.of_service(service)
+    pauses = sorted(tracked.pause_s for tracked in tracked_workers if tracked.pause_s > 0.0)
     counts = state.fleet_demand(service)
     reading = state.prefill_pace(service)
     mean_tokens = counts.prompt_tokens / counts.asks if counts.asks else 0.0
     prompt_s = reading.reading_s(math.ceil(mean_tokens)) if mean_tokens > 0.0 else 0.0
     full_prompts = patience.PREFILL_FULL_TOKENS / mean_tokens if mean_tokens > 0.0 else 0.0
     return UsualTimes(
-        answer_s=usual_answer_s([belief for belief in beliefs if belief.worker.stage is None]),
+        answer_s=usual_answer_s(
+            [tracked for tracked in tracked_workers if tracked.worker.stage is None]
+        ),
         stream_s=counts.ended_s / counts.ended if counts.ended else 0.0,
         pause_s=pauses[(len(pauses) - 1) // 2] if pauses else 0.0,
         prompt_s=prompt_s,
--- a/src/croftchute/forwarding/workers/kept_prompts.py
+++ b/src/croftchute/forwarding/workers/kept_prompts.py
@@ -13,7 +13,7 @@
 from croftchute.forwarding.http.failures import ExchangeError
 from croftchute.forwarding.workers.request_run import RequestRun
 from croftchute.forwarding.workers.worker_control import ask_kept_parts
-from croftchute.systems.worker_belief import WorkerBelief
+from croftchute.systems.tracked_worker import TrackedWorker
 from croftchute.systems.worker_choice import by_affinity
 from croftchute.tables.routing import Stage
 
@@ -29,7 +29,7 @@
     if not part or run.engine is None:
         return None
     usable = by_affinity(usable, part)[:MAX_WORKERS_ASKED]
-    answers = await asyncio.gather(*(_kept_tokens(run, belief, part) for belief in usable))
+    answers = await asyncio.gather(*(_kept_tokens(run, tracked, part) for tracked in usable))
     tokens, keeper = max(zip(answers, (b.worker.id for b in usable), strict=True), default=(0, ""))
     run.log(
         Decision.KEEPER_ASKED,
@@ -41,15 +41,15 @@
     return keeper if tokens > 0 else None
 
 
-async def _kept_tokens(run: RequestRun, belief: WorkerBelief, part: str) -> int:
+async def _kept_tokens(run: RequestRun, tracked: TrackedWorker, part: str) -> int:
     """How much of a prompt part a worker keeps; 0 if it does not tell in time."""
     try:
-        kept = await ask_kept_parts(run.state, belief.worker)
+        kept = await ask_kept_parts(run.state, tracked.worker)
     except (ExchangeError, MessageError) as error:
         run.log(
             Decision.KEEPER_ASKED,
             outcome=error.code.value,
-            worker=belief.worker.id,
+            worker=tracked.worker.id,
             detail=error.message,
         )
         return 0
--- a/src/croftchute/forwarding/workers/load_probe.py
+++ b/src/croftchute/forwarding/workers/load_probe.py
@@ -11,7 +11,7 @@
 from croftchute.forwarding.permits import ONE_CALL, PermitWish
 from croftchute.forwarding.state import ForwardingState
 from croftchute.forwarding.workers.worker_control import control_exchange
-from croftchute.systems.worker_belief import WorkerBelief
+from croftchute.systems.tracked_worker import TrackedWorker
 from croftchute.tables.routing import Service
 
 PROBE_TIMEOUT_S = 0.03
@@ -25,7 +25,7 @@
 async def probe_loads(
     state: ForwardingState,
     service: Service,
-    workers: Sequence[WorkerBelief],
+    workers: Sequence[TrackedWorker],
     timeout_s: float,
     *,
     wish: PermitWish = ONE_CALL,
@@ -38,8 +38,8 @@
         return {}
     loads_by_id: dict[str, WorkerLoad] = {}
     probes: set[asyncio.Task[None]] = {
-        asyncio.ensure_future(_probe(state, service.health_path, belief, wish, loads_by_id))
-        for belief in workers
+        asyncio.ensure_future(_probe(state, service.health_path, tracked, wish, loads_by_id))
+        for tracked in workers
     }
     for probe in probes:
         state.background.add(probe)
@@ -51,12 +51,12 @@
 async def _probe(
     state: ForwardingState,
     path: str,
-    belief: WorkerBelief,
+    tracked: TrackedWorker,
     wish: PermitWish,
     loads_by_id: dict[str, WorkerLoad],
 ) -> None:
     asked_at = state.clock()
-    worker = belief.worker
+    worker = tracked.worker
     if not await state.permits.take(worker, wish):
         return
     if state.clock() - asked_at > PROBE_TIMEOUT_S:
@@ -72,7 +72,7 @@
     load = state.workers_speak.load(head)
     if load is None or state.workers_speak.verdict(head) is Verdict.WRONG_WORKER:
         return
-    sent_since = belief.queue.sent_since(asked_at)
+    sent_since = tracked.queue.sent_since(asked_at)
     state.workers.note_load(
         worker.id, load.running, load.waiting, state.clock(), sent_since=sent_since
     )
--- a/src/croftchute/forwarding/workers/load_reader.py
+++ b/src/croftchute/forwarding/workers/load_reader.py
@@ -4,7 +4,7 @@
 
 from croftchute.forwarding.http.http_client import ResponseHead
 from croftchute.forwarding.state import ForwardingState
-from croftchute.systems.worker_belief import LOAD_TTL_S, WorkerBelief
+from croftchute.systems.tracked_worker import LOAD_TTL_S, TrackedWorker
 from croftchute.tables.paces import WorkKind
 from croftchute.tables.peers import WorkerPaceNotice
 from croftchute.tables.routing import Stage, Worker
@@ -37,9 +37,9 @@
     """A plain worker answered after some seconds: compared with what others usually take."""
     if worker.stage is not None:
         return
-    belief = state.workers.beliefs_by_id.get(worker.id)
-    if belief is not None:
-        waiting = belief.load_waiting if state.clock() - belief.load_at <= LOAD_TTL_S else 0
+    tracked = state.workers.tracked_by_id.get(worker.id)
+    if tracked is not None:
+        waiting = tracked.load_waiting if state.clock() - tracked.load_at <= LOAD_TTL_S else 0
         state.work_times.note(worker.service, seconds, waiting=waiting)
     usual_s = usual_answer_s(state.workers.of_service(worker.service))
     if usual_s > 0.0:
@@ -55,12 +55,12 @@
 
 def note_pace_heard(state: ForwardingState, notice: WorkerPaceNotice) -> None:
     """A peer told the pace of a worker; of one that is not known here nothing is kept."""
-    belief = state.workers.beliefs_by_id.get(notice.worker)
-    if belief is not None:
-        state.paces.hear(notice, KIND_BY_STAGE[belief.worker.stage], state.clock())
+    tracked = state.workers.tracked_by_id.get(notice.worker)
+    if tracked is not None:
+        state.paces.hear(notice, KIND_BY_STAGE[tracked.worker.stage], state.clock())
 
 
-def usual_answer_s(beliefs: list[WorkerBelief]) -> float:
+def usual_answer_s(tracked_workers: list[TrackedWorker]) -> float:
     """The median of the usual times of some workers; 0 if none has answered yet."""
-    known = sorted(belief.latency_s for belief in beliefs if belief.latency_s > 0.0)
+    known = sorted(tracked.latency_s for tracked in tracked_workers if tracked.latency_s > 0.0)
     return known[(len(known) - 1) // 2] if known else 0.0
--- a/src/croftchute/forwarding/workers/order_gauges.py
+++ b/src/croftchute/forwarding/workers/order_gauges.py
@@ -51,10 +51,10 @@
 
 def _paces(state: ForwardingState, now: float) -> Iterator[Series]:
     """The paces of listed workers of which something was heard; 1 is usual."""
-    beliefs_by_id = state.workers.beliefs_by_id
-    known = sorted(worker_id for worker_id in beliefs_by_id if state.paces.is_known(worker_id))
+    tracked_by_id = state.workers.tracked_by_id
+    known = sorted(worker_id for worker_id in tracked_by_id if state.paces.is_known(worker_id))
     for worker_id in known[:MOST_PACES]:
-        kind = KIND_BY_STAGE[beliefs_by_id[worker_id].worker.stage]
+        kind = KIND_BY_STAGE[tracked_by_id[worker_id].worker.stage]
         estimate = state.paces.estimate(worker_id, kind, now)
         yield {"worker": worker_id}, round(estimate.factor, 3)
 
--- a/src/croftchute/forwarding/workers/part_reader.py
+++ b/src/croftchute/forwarding/workers/part_reader.py
@@ -55,7 +55,7 @@
         if self._last_at is None:
             return min(self.first_wait_s, run.time_left_s)
         return patience.gap_patience(
-            run.route, time_left_s=run.time_left_s, pause_s=self.call.belief.pause_s
+            run.route, time_left_s=run.time_left_s, pause_s=self.call.tracked.pause_s
         )
 
     def _note_part(self) -> None:
--- a/src/croftchute/forwarding/workers/plain_admission.py
+++ b/src/croftchute/forwarding/workers/plain_admission.py
@@ -10,7 +10,7 @@
 from croftchute.forwarding.workers.request_run import RequestRun
 from croftchute.systems import plain_queue
 from croftchute.systems.plain_queue import PlainChoice, QueueLoad
-from croftchute.systems.worker_belief import WorkerBelief
+from croftchute.systems.tracked_worker import TrackedWorker
 from croftchute.systems.worker_choice import ChoiceInput
 from croftchute.tables.paces import PaceSource, PredictedEnd
 from croftchute.tables.routing import Service
@@ -24,7 +24,7 @@
     """Where a call goes by the load just told; ``found`` is None if it would be late everywhere."""
 
     choice: PlainChoice
-    found: tuple[WorkerBelief, ChoiceInput] | None
+    found: tuple[TrackedWorker, ChoiceInput] | None
 
 
 async def admit(run: RequestRun) -> Admission | None:
@@ -38,7 +38,9 @@
     asked = run.state.rng.sample(workers, min(MOST_PROBES, len(workers)))
     await probe_loads(run.state, service, asked, PROBE_TIMEOUT_S, wish=run.permit_wish())
     loads_by_id = {
-        belief.worker.id: load for belief in asked if (load := _load(run.state, belief)) is not None
+        tracked.worker.id: load
+        for tracked in asked
+        if (load := _load(run.state, tracked)) is not None
     }
     work_s = run.state.work_times.usual_s(run.service)
     choice = plain_queue.place(
@@ -52,10 +54,10 @@
         return None
     if choice.is_refused:
         return Admission(choice=choice, found=None)
-    belief = next(b for b in asked if b.worker.id == choice.worker_id)
+    tracked = next(b for b in asked if b.worker.id == choice.worker_id)
     end = _predicted(choice, loads_by_id[choice.worker_id], work_s)
-    described = replace(run.describe(belief, candidates=len(loads_by_id)), end=end)
-    return Admission(choice=choice, found=(belief, described))
+    described = replace(run.describe(tracked, candidates=len(loads_by_id)), end=end)
+    return Admission(choice=choice, found=(tracked, described))
 
 
 def refuse_late(run: RequestRun, admission: Admission) -> None:
@@ -74,16 +76,16 @@
     return service if state.conditions.pressure or state.tells_pace(run.service) else None
 
 
-def _load(state: ForwardingState, belief: WorkerBelief) -> QueueLoad | None:
+def _load(state: ForwardingState, tracked: TrackedWorker) -> QueueLoad | None:
     """What a worker told within the time of a probe."""
     now = state.clock()
-    if now - belief.load_at > PROBE_TIMEOUT_S:
+    if now - tracked.load_at > PROBE_TIMEOUT_S:
         return None
-    pace = state.paces.told(belief.worker.id, now)
+    pace = state.paces.told(tracked.worker.id, now)
     return QueueLoad(
-        running=belief.load_running,
-        waiting=belief.load_waiting,
-        slots=belief.worker.slots,
+        running=tracked.load_running,
+        waiting=tracked.load_waiting,
+        slots=tracked.worker.slots,
         pace=1.0 if pace is None else pace,
     )
 
--- a/src/croftchute/forwarding/workers/plain_run.py
+++ b/src/croftchute/forwarding/workers/plain_run.py
@@ -17,7 +17,7 @@
 from croftchute.forwarding.workers.request_run import RequestRun
 from croftchute.forwarding.workers.worker_call import WorkerCall
 from croftchute.systems import patience
-from croftchute.systems.worker_belief import WorkerBelief
+from croftchute.systems.tracked_worker import TrackedWorker
 from croftchute.systems.worker_choice import ChoiceInput
 from croftchute.tables.routing import HeaderList
 
@@ -68,19 +68,19 @@
 
 
 async def _attempt(
-    run: RequestRun, belief: WorkerBelief, chosen: ChoiceInput, progress: Progress
+    run: RequestRun, tracked: TrackedWorker, chosen: ChoiceInput, progress: Progress
 ) -> WholeAnswer | None:
-    send = Send(worker=belief.worker, time_left_s=run.time_left_s, priority=run.priority)
-    call = WorkerCall(run=run, belief=belief, send=send, chosen=chosen)
+    send = Send(worker=tracked.worker, time_left_s=run.time_left_s, priority=run.priority)
+    call = WorkerCall(run=run, tracked=tracked, send=send, chosen=chosen)
     try:
         await call.open()
         run.arrivals += 1
-        run.workers_sent_to.add(belief.worker.id)
-        head = await call.head(_patience(run, belief))
+        run.workers_sent_to.add(tracked.worker.id)
+        head = await call.head(_patience(run, tracked))
         return await _take(run, call, head, progress)
     except ConnectFailedError as error:
         run.connect_failures += 1
-        run.state.permits.give_back(belief.worker)
+        run.state.permits.give_back(tracked.worker)
         call.failed(error)
         progress.code, progress.detail = error.code, error.message
     except ExchangeError as error:
@@ -92,11 +92,11 @@
     return None
 
 
-def _patience(run: RequestRun, belief: WorkerBelief) -> float:
+def _patience(run: RequestRun, tracked: TrackedWorker) -> float:
     if not run.route.may_repeat or len(run.workers_sent_to) >= run.route.max_attempts:
         return run.time_left_s
     return patience.answer_patience(
-        run.route, typical_s=belief.latency_s, time_left_s=run.time_left_s
+        run.route, typical_s=tracked.latency_s, time_left_s=run.time_left_s
     )
 
 
--- a/src/croftchute/forwarding/workers/prompt_reader.py
+++ b/src/croftchute/forwarding/workers/prompt_reader.py
@@ -17,7 +17,7 @@
 from croftchute.forwarding.workers.worker_control import free_handle
 from croftchute.systems import patience
 from croftchute.systems.prefill_queue import ReadingTimes
-from croftchute.systems.worker_belief import WorkerBelief
+from croftchute.systems.tracked_worker import TrackedWorker
 from croftchute.systems.worker_choice import ChoiceInput
 from croftchute.tables.routing import Stage
 
@@ -39,7 +39,7 @@
         self._has_begun = False
         self._refusals = 0
 
-    async def read_for(self, decode: WorkerBelief) -> PrefillHandle | None:
+    async def read_for(self, decode: TrackedWorker) -> PrefillHandle | None:
         """A handle for a decode worker; None if that worker must read the prompt itself.
 
         The decode worker itself reads where it keeps the prompt (``keeper``), or where that is
@@ -70,8 +70,8 @@
         return None
 
     async def _choose(
-        self, decode: WorkerBelief, *, may_probe: bool
-    ) -> tuple[WorkerBelief, ChoiceInput] | None:
+        self, decode: TrackedWorker, *, may_probe: bool
+    ) -> tuple[TrackedWorker, ChoiceInput] | None:
         """A prefill worker near a decode worker; one round of probes at most for a request."""
         run = self.run
         near = decode.worker.zone
@@ -105,7 +105,7 @@
         return run.arrivals == 0 or (leaves_attempt and run.may_send_again())
 
     def _reading_times(
-        self, prefill: WorkerBelief, chosen: ChoiceInput, decode: WorkerBelief
+        self, prefill: TrackedWorker, chosen: ChoiceInput, decode: TrackedWorker
     ) -> ReadingTimes:
         run = self.run
         tokens = run.facts.prompt_tokens
@@ -118,7 +118,7 @@
         )
 
     def _is_better_ahead(
-        self, prefill: WorkerBelief, chosen: ChoiceInput, decode: WorkerBelief
+        self, prefill: TrackedWorker, chosen: ChoiceInput, decode: TrackedWorker
     ) -> bool:
         """Whether the prefill worker's queue is short enough to read the prompt there."""
         run = self.run
@@ -138,23 +138,23 @@
         )
         return False
 
-    async def _read(self, belief: WorkerBelief, chosen: ChoiceInput) -> PrefillHandle | None:
+    async def _read(self, tracked: TrackedWorker, chosen: ChoiceInput) -> PrefillHandle | None:
         run = self.run
         send = Send(
-            worker=belief.worker,
+            worker=tracked.worker,
             time_left_s=run.time_left_s,
             priority=run.rank,
             is_prefill=True,
         )
-        call = WorkerCall(run=run, belief=belief, send=send, chosen=chosen)
+        call = WorkerCall(run=run, tracked=tracked, send=send, chosen=chosen)
         expected_s = chosen.end.served_s if chosen.end is not None else 0.0
-        belief.queue.sent(run.facts.id, run.facts.prompt_tokens, run.now, expected_s=expected_s)
+        tracked.queue.sent(run.facts.id, run.facts.prompt_tokens, run.now, expected_s=expected_s)
         try:
             await call.open()
             return await self._take_handle(call)
         except ConnectFailedError as error:
             self._refusals += 1
-            run.state.permits.give_back(belief.worker)
+            run.state.permits.give_back(tracked.worker)
             call.failed(error)
         except ExchangeError as error:
             run.arrivals += 1
@@ -163,7 +163,7 @@
             run.arrivals += 1
             call.failed(ConnectionBrokenError(error.message))
         finally:
-            belief.queue.dropped(run.facts.id)
+            tracked.queue.dropped(run.facts.id)
             call.close()
         return None
 
@@ -185,7 +185,7 @@
         usual_s = working_s / end.pace if end is not None else working_s
         run.state.demand(run.service).note_prefill(run.facts.prompt_tokens, usual_s)
         pace = run.state.prefill_pace(run.service)
-        call.belief.queue.answered(run.facts.id, pace=pace, now=run.now)
+        call.tracked.queue.answered(run.facts.id, pace=pace, now=run.now)
         note_reading_pace(run.state, call.worker, run.facts.prompt_tokens, working_s)
         self.unused = handle
         if run.engine is not None:
--- a/src/croftchute/forwarding/workers/request_run.py
+++ b/src/croftchute/forwarding/workers/request_run.py
@@ -14,7 +14,7 @@
 from croftchute.systems.fair_shares import ShareVerdict
 from croftchute.systems.room_order import OrderWay, room_rank
 from croftchute.systems.size_lanes import RoomWay, by_lane, is_large
-from croftchute.systems.worker_belief import WorkerBelief
+from croftchute.systems.tracked_worker import TrackedWorker
 from croftchute.systems.worker_choice import ChoiceInput, Surroundings, choose, describe
 from croftchute.tables.organisations import Organisation
 from croftchute.tables.routing import EngineTraits, RequestFacts, Route, RouteKind, Stage
@@ -168,7 +168,7 @@
 
     def choose(
         self, stage: Stage | None, *, near: str = ""
-    ) -> tuple[WorkerBelief, ChoiceInput] | None:
+    ) -> tuple[TrackedWorker, ChoiceInput] | None:
         """A worker for the next sending, within the route's attempts; best in the zone ``near``."""
         candidates = self.candidates(stage)
         if chooses_by_end(self.state, self.service):
@@ -182,7 +182,7 @@
             affinity=self.facts.own_part if stage is Stage.DECODE else "",
         )
 
-    def candidates(self, stage: Stage | None) -> list[WorkerBelief]:
+    def candidates(self, stage: Stage | None) -> list[TrackedWorker]:
         """Workers that the next sending may go to, those to be avoided among them."""
         if self.connect_failures >= MAX_CONNECT_TRIES:
             return []
@@ -206,7 +206,7 @@
             return False
         return is_large(self.facts.prompt_tokens + self.facts.likely_output, engine.kv_tokens)
 
-    def _within_lane(self, candidates: list[WorkerBelief]) -> list[WorkerBelief]:
+    def _within_lane(self, candidates: list[TrackedWorker]) -> list[TrackedWorker]:
         """The decode workers that requests of this size may have."""
         engine = self.engine
         if engine is None or self.state.ways.room is RoomWay.BLIND:
@@ -222,7 +222,7 @@
         """Whether there is a worker besides the last one that did not fail this request."""
         usable = self.state.workers.usable(self.service, self.now, stage=stage)
         passed_over = self.avoid | {self.last_worker}
-        return any(belief.worker.id not in passed_over for belief in usable)
+        return any(tracked.worker.id not in passed_over for tracked in usable)
 
     def surroundings(self, stage: Stage | None, *, near: str = "") -> Surroundings:
         """What a choice for this request goes by, besides the workers."""
@@ -233,23 +233,23 @@
         zone = near or self.state.zone
         return Surroundings(zone=zone, peers=self.state.peers, kv_tokens=full_tokens)
 
-    def describe(self, belief: WorkerBelief, *, candidates: int) -> ChoiceInput:
+    def describe(self, tracked: TrackedWorker, *, candidates: int) -> ChoiceInput:
         """What is known of a worker that was not chosen by cost."""
         return describe(
-            belief, self.surroundings(belief.worker.stage), self.now, candidates=candidates
+            tracked, self.surroundings(tracked.worker.stage), self.now, candidates=candidates
         )
 
-    async def take_permit(self, belief: WorkerBelief, *, calls: int = 1) -> bool:
+    async def take_permit(self, tracked: TrackedWorker, *, calls: int = 1) -> bool:
         """Leave for calls of a chosen worker; False if it may not be used now after all.
 
         A request that others could serve does not wait for it.
         """
         state = self.state
-        worker = belief.worker
+        worker = tracked.worker
         if state.workers.limits.limit_of(worker.id, self.now) is None:
             return True
         usable = state.workers.usable(self.service, self.now, stage=worker.stage)
-        others = [b for b in usable if b is not belief and b.worker.id not in self.avoid]
+        others = [b for b in usable if b is not tracked and b.worker.id not in self.avoid]
         wishes = state.workers.wishes
         wish = wishes.told_by(worker.id, self.now)
         asked = self.permit_wish(calls=calls, patience_s=0.0 if others else self.time_left_s)
--- a/src/croftchute/forwarding/workers/stage_orders.py
+++ b/src/croftchute/forwarding/workers/stage_orders.py
@@ -20,7 +20,7 @@
 from croftchute.systems.service_capacity import READ_SHARE_OF_TARGET, EnginePower, SplitWay
 from croftchute.systems.stage_balance import StageChange, wanted_changes
 from croftchute.systems.stage_headroom import StageHeadroom
-from croftchute.systems.worker_belief import WorkerBelief
+from croftchute.systems.tracked_worker import TrackedWorker
 from croftchute.tables.routing import EngineTraits, RoutingTable, Service, Stage
 
 CHECK_S = 0.5
@@ -155,21 +155,21 @@
         self, table: RoutingTable, service: Service, traits: EngineTraits
     ) -> list[StageChange]:
         """The changes that one service needs at the moment."""
-        beliefs = self._staying(service.name)
+        tracked_workers = self._staying(service.name)
         counts = self.state.fleet_demand(service.name)
         pace = self.state.prefill_pace(service.name)
-        ordered = self._ordered() | self._resting(beliefs)
+        ordered = self._ordered() | self._resting(tracked_workers)
         if self.split_way(service.name) is SplitWay.HEADROOM:
             now = self.state.clock()
             headroom = self._headroom_by_service.setdefault(service.name, StageHeadroom())
             return headroom.wanted(
-                beliefs,
+                tracked_workers,
                 counts,
                 scale=self.state.boxes / (1 + self.state.peers.fresh_boxes(now)),
                 pace=pace,
                 traits=traits,
                 paces=self.state.paces,
-                ordered=_changing(beliefs, now) | ordered,
+                ordered=_changing(tracked_workers, now) | ordered,
                 now=now,
             )
         power = EnginePower(
@@ -178,7 +178,7 @@
             slots=traits.slots,
             read_limit_s=self._read_limit_s(table, service.name),
         )
-        return wanted_changes(beliefs, counts, power, ordered=ordered)
+        return wanted_changes(tracked_workers, counts, power, ordered=ordered)
 
     def split_way(self, service: str) -> SplitWay:
         """How the engines of a service are split at the moment; never ``auto``."""
@@ -187,21 +187,21 @@
             return way
         return SplitWay.HEADROOM if self.state.tells_pace(service) else SplitWay.FIXED_USE
 
-    def _staying(self, service: str) -> list[WorkerBelief]:
+    def _staying(self, service: str) -> list[TrackedWorker]:
         """The workers of a service that did not say that they leave."""
         workers = self.state.workers
         return [
             b for b in workers.of_service(service) if not workers.wishes.is_leaving(b.worker.id)
         ]
 
-    def _resting(self, beliefs: list[WorkerBelief]) -> dict[str, Stage]:
+    def _resting(self, tracked_workers: list[TrackedWorker]) -> dict[str, Stage]:
         """The stages of workers that rest: they count as they are, and get no order meanwhile."""
         now = self.state.clock()
         wishes = self.state.workers.wishes
         return {
-            belief.worker.id: belief.worker.stage
-            for belief in beliefs
-            if belief.worker.stage is not None and wishes.rest_left_s(belief.worker.id, now) > 0.0
+            tracked.worker.id: tracked.worker.stage
+            for tracked in tracked_workers
+            if tracked.worker.stage is not None and wishes.rest_left_s(tracked.worker.id, now) > 0.0
         }
 
     def _read_limit_s(self, table: RoutingTable, service: str) -> float:
@@ -214,10 +214,10 @@
     def _ordered(self) -> dict[str, Stage]:
         """Stages of workers whose orders are on their way; forgets orders that are not."""
         now = self.state.clock()
-        beliefs_by_id = self.state.workers.beliefs_by_id
+        tracked_by_id = self.state.workers.tracked_by_id
         for worker_id, order in list(self._orders_by_worker.items()):
-            belief = beliefs_by_id.get(worker_id)
-            is_done = belief is None or belief.worker.stage is order.stage
+            tracked = tracked_by_id.get(worker_id)
+            is_done = tracked is None or tracked.worker.stage is order.stage
             if is_done or now - order.at > ORDER_LASTS_S:
                 del self._orders_by_worker[worker_id]
         return {worker_id: order.stage for worker_id, order in self._orders_by_worker.items()}
@@ -340,10 +340,10 @@
         )
 
 
-def _changing(beliefs: list[WorkerBelief], now: float) -> dict[str, Stage]:
+def _changing(tracked_workers: list[TrackedWorker], now: float) -> dict[str, Stage]:
     """The stages that workers are about to have, by notices: another box gave their orders."""
     return {
-        belief.worker.id: belief.changing_to
-        for belief in beliefs
-        if belief.changing_to is not None and now < belief.changing_until
+        tracked.worker.id: tracked.changing_to
+        for tracked in tracked_workers
+        if tracked.changing_to is not None and now < tracked.changing_until
     }
--- a/src/croftchute/forwarding/workers/stream_run.py
+++ b/src/croftchute/forwarding/workers/stream_run.py
@@ -26,7 +26,7 @@
 from croftchute.forwarding.workers.worker_call import WorkerCall
 from croftchute.systems import patience
 from croftchute.systems.prefill_queue import ReadingTimes
-from croftchute.systems.worker_belief import WorkerBelief
+from croftchute.systems.tracked_worker import TrackedWorker
 from croftchute.systems.worker_choice import ChoiceInput
 from croftchute.tables.routing import HeaderList, Stage
 
@@ -137,24 +137,24 @@
     # Decode.
 
     async def _decode(
-        self, belief: WorkerBelief, chosen: ChoiceInput, source: PrefillHandle | None
+        self, tracked: TrackedWorker, chosen: ChoiceInput, source: PrefillHandle | None
     ) -> None:
         run = self.run
         progress = self.progress
         send = Send(
-            worker=belief.worker,
+            worker=tracked.worker,
             time_left_s=run.time_left_s,
             priority=run.rank,
             source=source,
             hold=self.room.hold,
             resume_after=progress.last_event,
         )
-        call = WorkerCall(run=run, belief=belief, send=send, chosen=chosen)
+        call = WorkerCall(run=run, tracked=tracked, send=send, chosen=chosen)
         try:
             await call.open()
             self.room.note_used()
             run.arrivals += 1
-            run.workers_sent_to.add(belief.worker.id)
+            run.workers_sent_to.add(tracked.worker.id)
             await self._take(call, source)
         except ConnectFailedError as error:
             self.room.drop_unused()
@@ -171,7 +171,7 @@
             call.failed(error)
             progress.code, progress.detail = error.code, error.message
             if error.code is Code.UPSTREAM_FAILED:
-                self.room.kept_at = belief.worker.id
+                self.room.kept_at = tracked.worker.id
         finally:
             call.close()
 
--- a/src/croftchute/forwarding/workers/wish_reader.py
+++ b/src/croftchute/forwarding/workers/wish_reader.py
@@ -87,14 +87,14 @@
     call: str,
     **wished: Any,
 ) -> None:
-    belief = state.workers.beliefs_by_id.get(worker.id)
+    tracked = state.workers.tracked_by_id.get(worker.id)
     state.log.decide(
         kind,
         outcome="told in an answer",
         worker=worker.id,
         service=worker.service,
         status=head.status,
-        listed=belief.worker.state.value if belief is not None else "not listed",
+        listed=tracked.worker.state.value if tracked is not None else "not listed",
         workers_age_s=round(state.clock() - state.workers.heard_at, 2),
         call=call,
         **wished,
--- a/src/croftchute/forwarding/workers/worker_call.py
+++ b/src/croftchute/forwarding/workers/worker_call.py
@@ -15,7 +15,7 @@
 from croftchute.forwarding.workers.request_run import RequestRun
 from croftchute.forwarding.workers.wish_reader import note_displaced, note_wish
 from croftchute.systems import patience
-from croftchute.systems.worker_belief import WorkerBelief
+from croftchute.systems.tracked_worker import TrackedWorker
 from croftchute.systems.worker_choice import ChoiceInput
 
 MAX_ANSWER_BYTES = 16 << 20
@@ -47,11 +47,11 @@
     """One sending of a request to one worker; always end it with :meth:`close`."""
 
     def __init__(
-        self, *, run: RequestRun, belief: WorkerBelief, send: Send, chosen: ChoiceInput
+        self, *, run: RequestRun, tracked: TrackedWorker, send: Send, chosen: ChoiceInput
     ) -> None:
         self.run = run
-        self.belief = belief
-        self.worker = belief.worker
+        self.tracked = tracked
+        self.worker = tracked.worker
         self.send = send
         self.chosen = chosen
         self.opened_at = run.now
@@ -78,7 +78,7 @@
         resets new connections, and that costs it as well, where a kept one brings a rejection.
         """
         may_repeat = self.send.is_prefill or self.run.route.may_repeat
-        if may_repeat or self.belief.has_rejected_lately(self.run.now):
+        if may_repeat or self.tracked.has_rejected_lately(self.run.now):
             return math.inf
         return patience.ONCE_IDLE_S
 
@@ -88,7 +88,7 @@
         worker = self.worker
         run.last_worker = worker.id
         self._is_counted = True
-        self.belief.sent_at_by_call[self] = run.now
+        self.tracked.sent_at_by_call[self] = run.now
         run.state.workers.note_sent(worker.id, self._tokens)
         run.state.workers.wishes.note_sent(worker.id, run.now)
         connection = await run.state.pool.acquire(
@@ -216,7 +216,7 @@
         """Give the connection back, or close it if the answer is not whole."""
         if self._is_counted:
             self._is_counted = False
-            self.belief.sent_at_by_call.pop(self, None)
+            self.tracked.sent_at_by_call.pop(self, None)
             self.run.state.workers.note_ended(self.worker.id, self._tokens)
         if self.connection is not None:
             self.run.state.pool.release(
--- a/src/croftchute/soak/box_program.py
+++ b/src/croftchute/soak/box_program.py
@@ -42,8 +42,8 @@
 from croftchute.forwarding.workers.request_run import RequestRun  # noqa: E402
 from croftchute.forwarding.workers.worker_call import WorkerCall  # noqa: E402
 from croftchute.systems.crash_records import CrashRecords  # noqa: E402
+from croftchute.systems.tracked_worker import TrackedWorker  # noqa: E402
 from croftchute.systems.usage_bucket import UsageBucket  # noqa: E402
-from croftchute.systems.worker_belief import WorkerBelief  # noqa: E402
 from croftchute.systems.worker_table import WorkerTable  # noqa: E402
 from croftchute.systems.worker_wishes import NO_WISH  # noqa: E402
 from croftchute.tables.organisations import (  # noqa: E402
@@ -86,13 +86,13 @@
 
     def usable(
         self: WorkerTable, service: str, now: float, *, stage: Stage | None = None
-    ) -> list[WorkerBelief]:
-        known = [b for b in self.beliefs_by_id.values() if now - b.listed_at < FAR_FUTURE_S]
+    ) -> list[TrackedWorker]:
+        known = [b for b in self.tracked_by_id.values() if now - b.listed_at < FAR_FUTURE_S]
         return [
-            belief
-            for belief in known
-            if belief.worker.service == service
-            and (stage is None or belief.worker.stage in (None, stage))
+            tracked
+            for tracked in known
+            if tracked.worker.service == service
+            and (stage is None or tracked.worker.stage in (None, stage))
         ]
 
     WorkerTable.usable = usable  # type: ignore[method-assign]
--- a/src/croftchute/systems/plain_queue.py
+++ b/src/croftchute/systems/plain_queue.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass, field
 
 from croftchute.systems.patience import RETURN_SHARE
-from croftchute.systems.worker_belief import WorkerBelief
+from croftchute.systems.tracked_worker import TrackedWorker
 from croftchute.tables.routing import Route
 
 BUSY_FOR_S = 1.0
@@ -95,12 +95,12 @@
     return before_s > (1.0 - RETURN_SHARE) * route.timeout_s
 
 
-def is_busy(beliefs: Sequence[WorkerBelief], now: float) -> bool:
+def is_busy(tracked_workers: Sequence[TrackedWorker], now: float) -> bool:
     """Whether a worker of the service told of a queue lately, or rejected a call."""
     return any(
-        now - belief.rejected_at <= BUSY_FOR_S
-        or (belief.load_waiting > 0 and now - belief.load_at <= BUSY_FOR_S)
-        for belief in beliefs
+        now - tracked.rejected_at <= BUSY_FOR_S
+        or (tracked.load_waiting > 0 and now - tracked.load_at <= BUSY_FOR_S)
+        for tracked in tracked_workers
     )
 
 
--- a/src/croftchute/systems/predicted_end.py
+++ b/src/croftchute/systems/predicted_end.py
@@ -13,7 +13,7 @@
 from enum import StrEnum
 
 from croftchute.systems.prefill_pace import PrefillPace
-from croftchute.systems.worker_belief import LOAD_TTL_S, WorkerBelief
+from croftchute.systems.tracked_worker import LOAD_TTL_S, TrackedWorker
 from croftchute.systems.worker_choice import (
     FAILURE_COST,
     MAX_PEER_FAILURES,
@@ -78,30 +78,30 @@
     at: float = 0.0
 
 
-def failure_cost(belief: WorkerBelief, around: Surroundings, now: float) -> float:
+def failure_cost(tracked: TrackedWorker, around: Surroundings, now: float) -> float:
     """What is held against a worker here and at peers, in full workers as in choices by cost."""
-    told = min(MAX_PEER_FAILURES, around.peers.failures(belief.worker.id, now))
-    return FAILURE_COST * belief.failure_score(now) + PEER_FAILURE_COST * told
+    told = min(MAX_PEER_FAILURES, around.peers.failures(tracked.worker.id, now))
+    return FAILURE_COST * tracked.failure_score(now) + PEER_FAILURE_COST * told
 
 
-def is_doubtful(belief: WorkerBelief, around: Surroundings, now: float) -> bool:
+def is_doubtful(tracked: TrackedWorker, around: Surroundings, now: float) -> bool:
     """Whether enough is held against a worker that others are tried first."""
-    return failure_cost(belief, around, now) >= DOUBTFUL_FAILURES
+    return failure_cost(tracked, around, now) >= DOUBTFUL_FAILURES
 
 
 def plain_end(
-    belief: WorkerBelief, *, usual_s: float, around: Surroundings, pace: PaceEstimate, now: float
+    tracked: TrackedWorker, *, usual_s: float, around: Surroundings, pace: PaceEstimate, now: float
 ) -> PredictedEnd:
     """The end of a request at a plain worker; ``usual_s`` is the usual time of an answer."""
-    slots = max(1, belief.worker.slots)
-    known = belief.in_flight + others_at(belief, around, now)
+    slots = max(1, tracked.worker.slots)
+    known = tracked.in_flight + others_at(tracked, around, now)
     ahead = max(0.0, known + 1 - slots)
     return PredictedEnd(
         wait_s=ahead * usual_s / slots * pace.factor,
         work_s=usual_s * pace.factor,
-        overdue_s=max(0.0, belief.oldest_call_s(now) - OVERDUE_MULTIPLE * usual_s),
-        far_s=_far_s(belief, around),
-        failure_s=usual_s * failure_cost(belief, around, now),
+        overdue_s=max(0.0, tracked.oldest_call_s(now) - OVERDUE_MULTIPLE * usual_s),
+        far_s=_far_s(tracked, around),
+        failure_s=usual_s * failure_cost(tracked, around, now),
         pace=pace.factor,
         pace_source=pace.source,
         pace_age_s=pace.age_s,
@@ -109,7 +109,7 @@
 
 
 def decode_end(
-    belief: WorkerBelief,
+    tracked: TrackedWorker,
     *,
     usual: UsualTimes,
     target_s: float,
@@ -124,17 +124,17 @@
     likely full refuses the hold, and a request asks several for one.
     """
     stream_s = usual.stream_s or DEFAULT_STREAM_S
-    elsewhere = others_at(belief, around, now)
-    load = (belief.in_flight + elsewhere) / max(1, belief.worker.slots)
+    elsewhere = others_at(tracked, around, now)
+    load = (tracked.in_flight + elsewhere) / max(1, tracked.worker.slots)
     if around.kv_tokens > 0:
-        load += (belief.tokens_in_flight + elsewhere * TYPICAL_TOKENS) / around.kv_tokens
+        load += (tracked.tokens_in_flight + elsewhere * TYPICAL_TOKENS) / around.kv_tokens
     pauses_too_long = 0.0 < target_gap_s < usual.pause_s * pace.factor
     return PredictedEnd(
         wait_s=load * stream_s * pace.factor,
         work_s=stream_s * pace.factor,
         gap_s=target_s if pauses_too_long else 0.0,
-        far_s=_far_s(belief, around),
-        failure_s=stream_s * failure_cost(belief, around, now),
+        far_s=_far_s(tracked, around),
+        failure_s=stream_s * failure_cost(tracked, around, now),
         pace=pace.factor,
         pace_source=pace.source,
         pace_age_s=pace.age_s,
@@ -142,7 +142,7 @@
 
 
 def prefill_end(
-    belief: WorkerBelief,
+    tracked: TrackedWorker,
     *,
     prompt_tokens: int,
     usual: UsualTimes,
@@ -157,48 +157,48 @@
     The prompts there are those that the worker told just now, and this box's own. Where it told
     nothing lately, what calls waited counts if it is more: ``told_wait_s``, here and at peers.
     """
-    own = len(belief.queue.open_by_request)
-    prompts = own + belief.others_running(now)
+    own = len(tracked.queue.open_by_request)
+    prompts = own + tracked.others_running(now)
     wait_s = prompts * usual.prompt_s * pace.factor
-    if now - belief.load_at > LOAD_TTL_S:
-        wait_s = max(wait_s, told_wait_s, belief.queue.seen_wait_left_s(now))
+    if now - tracked.load_at > LOAD_TTL_S:
+        wait_s = max(wait_s, told_wait_s, tracked.queue.seen_wait_left_s(now))
     work_s = reading.reading_s(prompt_tokens)
     failed_s = max(work_s, usual.prompt_s, usual.full_prompts_s)
     return PredictedEnd(
         wait_s=wait_s,
         work_s=work_s * pace.factor,
-        overdue_s=belief.queue.overdue_s(pace=reading, now=now),
-        far_s=_far_s(belief, around),
-        failure_s=failed_s * failure_cost(belief, around, now),
+        overdue_s=tracked.queue.overdue_s(pace=reading, now=now),
+        far_s=_far_s(tracked, around),
+        failure_s=failed_s * failure_cost(tracked, around, now),
         pace=pace.factor,
         pace_source=pace.source,
         pace_age_s=pace.age_s,
     )
 
 
-def _far_s(belief: WorkerBelief, around: Surroundings) -> float:
-    return FAR_S if belief.worker.zone != around.zone else 0.0
+def _far_s(tracked: TrackedWorker, around: Surroundings) -> float:
+    return FAR_S if tracked.worker.zone != around.zone else 0.0
 
 
 def draw(
-    candidates: Sequence[WorkerBelief],
+    candidates: Sequence[TrackedWorker],
     *,
     speeds: Mapping[str, float],
     count: int,
     rng: random.Random,
-) -> list[WorkerBelief]:
+) -> list[TrackedWorker]:
     """Some different candidates at random, in proportion to their speeds by worker id.
 
     Each gets a random key whose order is that of draws without replacement (Efraimidis and
     Spirakis 2006).
     """
     keyed = [(rng.expovariate(speeds[b.worker.id]), n, b) for n, b in enumerate(candidates)]
-    return [belief for _, _, belief in sorted(keyed, key=lambda entry: entry[:2])[:count]]
+    return [tracked for _, _, tracked in sorted(keyed, key=lambda entry: entry[:2])[:count]]
 
 
 def without_doubtful(
-    candidates: Sequence[WorkerBelief], *, around: Surroundings, now: float, least: int
-) -> list[WorkerBelief]:
+    candidates: Sequence[TrackedWorker], *, around: Surroundings, now: float, least: int
+) -> list[TrackedWorker]:
     """Candidates against which little is held; all of them if fewer than ``least`` are left."""
     sound = [b for b in candidates if not is_doubtful(b, around, now)]
     return sound if len(sound) >= least else list(candidates)
--- a/src/croftchute/systems/size_lanes.py
+++ b/src/croftchute/systems/size_lanes.py
@@ -13,7 +13,7 @@
 
 from croftchute.systems.rendezvous import weight
 from croftchute.systems.stage_balance import DemandCounts
-from croftchute.systems.worker_belief import WorkerBelief
+from croftchute.systems.tracked_worker import TrackedWorker
 
 LARGE_SHARE = 0.5
 """Share of an engine's memory over which a request is large: two of them don't fit one engine."""
@@ -76,12 +76,12 @@
 
 
 def by_lane(
-    candidates: Sequence[WorkerBelief],
+    candidates: Sequence[TrackedWorker],
     *,
     is_large_request: bool,
     share: float,
     passed_over: Collection[str],
-) -> list[WorkerBelief]:
+) -> list[TrackedWorker]:
     """The workers that a request may be put to: the lane's for large ones, the rest for others.
 
     A large request may also have the rest once the lane was asked in vain. A service too small for
@@ -90,9 +90,9 @@
     size = int(share * len(candidates) + 0.5)
     if not 0 < size < len(candidates):
         return list(candidates)
-    ranked = sorted(candidates, key=lambda belief: weight(LANE_KEY, belief.worker.id))
+    ranked = sorted(candidates, key=lambda tracked: weight(LANE_KEY, tracked.worker.id))
     lane, rest = ranked[:size], ranked[size:]
     if not is_large_request:
         return rest
-    left = [belief for belief in lane if belief.worker.id not in passed_over]
+    left = [tracked for tracked in lane if tracked.worker.id not in passed_over]
     return left or rest
--- a/src/croftchute/systems/stage_balance.py
+++ b/src/croftchute/systems/stage_balance.py
@@ -19,7 +19,7 @@
     best_split,
     split_of,
 )
-from croftchute.systems.worker_belief import WorkerBelief
+from croftchute.systems.tracked_worker import TrackedWorker
 from croftchute.tables.routing import Stage, Worker, WorkerState
 
 WINDOW_S = 10.0
@@ -164,7 +164,7 @@
 
 
 def wanted_changes(
-    beliefs: Sequence[WorkerBelief],
+    tracked_workers: Sequence[TrackedWorker],
     counts: DemandCounts,
     power: EnginePower,
     *,
@@ -174,7 +174,9 @@
 
     ``ordered`` are stages of workers whose orders are on their way; they count as changed.
     """
-    listed = [b for b in beliefs if b.gone_at is None and b.worker.state is WorkerState.READY]
+    listed = [
+        b for b in tracked_workers if b.gone_at is None and b.worker.state is WorkerState.READY
+    ]
     by_stage = {
         stage: [b for b in listed if ordered.get(b.worker.id, b.worker.stage) is stage]
         for stage in Stage
@@ -201,7 +203,7 @@
 
 
 def _changes(
-    by_stage: dict[Stage, list[WorkerBelief]],
+    by_stage: dict[Stage, list[TrackedWorker]],
     stage: Stage,
     number: int,
     ordered: dict[str, Stage],
@@ -209,9 +211,9 @@
 ) -> list[StageChange]:
     """So many workers of the other stage, the idlest of halls that are short of decode workers."""
     other = Stage.PREFILL if stage is Stage.DECODE else Stage.DECODE
-    decodes_by_hall = Counter(belief.worker.zone for belief in by_stage[Stage.DECODE])
+    decodes_by_hall = Counter(tracked.worker.zone for tracked in by_stage[Stage.DECODE])
     sign = 1 if stage is Stage.DECODE else -1
-    left = [belief for belief in by_stage[other] if belief.worker.id not in ordered]
+    left = [tracked for tracked in by_stage[other] if tracked.worker.id not in ordered]
     chosen: list[StageChange] = []
     while left and len(chosen) < number:
         best = min(left, key=lambda b: (sign * decodes_by_hall[b.worker.zone], *_idleness(b)))
@@ -221,8 +223,8 @@
     return chosen
 
 
-def _idleness(belief: WorkerBelief) -> tuple[int, str]:
-    return belief.tokens_in_flight, belief.worker.id
+def _idleness(tracked: TrackedWorker) -> tuple[int, str]:
+    return tracked.tokens_in_flight, tracked.worker.id
 
 
 def _reason(present: Split, best: Split, mix: RequestMix, power: EnginePower) -> str:
--- a/src/croftchute/systems/stage_headroom.py
+++ b/src/croftchute/systems/stage_headroom.py
@@ -17,7 +17,7 @@
 from croftchute.systems.prefill_pace import PrefillPace
 from croftchute.systems.service_capacity import MEMORY_USE, PREFILL_USE, RequestMix
 from croftchute.systems.stage_balance import WINDOW_S, DemandCounts, StageChange
-from croftchute.systems.worker_belief import WorkerBelief
+from croftchute.systems.tracked_worker import TrackedWorker
 from croftchute.tables.paces import PaceView, WorkKind
 from croftchute.tables.routing import EngineTraits, Stage, WorkerState
 
@@ -97,14 +97,14 @@
 class _Engine:
     """An engine in the stage that it has or is about to have; speeds by the work of the stage."""
 
-    belief: WorkerBelief
+    tracked: TrackedWorker
     stage: Stage
     is_arriving: bool
     speed_by_stage: dict[Stage, float]
 
     @property
     def id(self) -> str:
-        return self.belief.worker.id
+        return self.tracked.worker.id
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
@@ -133,7 +133,7 @@
 
     def wanted(
         self,
-        beliefs: Sequence[WorkerBelief],
+        tracked_workers: Sequence[TrackedWorker],
         counts: DemandCounts,
         *,
         scale: float,
@@ -149,7 +149,7 @@
         ``pace`` is that of a prefill call at the usual pace; ``ordered`` are stages of workers
         that get no order: those that change count as changed, those that rest as they are.
         """
-        engines = _engines(beliefs, ordered, paces, now)
+        engines = _engines(tracked_workers, ordered, paces, now)
         work = _work(counts, engines, scale=scale, pace=pace, traits=traits)
         self._work = work if work is not None else self._work
         self._forget(now)
@@ -189,7 +189,7 @@
             free,
             key=lambda e: (
                 e.id in self._orders_by_id,
-                e.belief.tokens_in_flight,
+                e.tracked.tokens_in_flight,
                 -e.speed_by_stage[Stage.DECODE],
                 e.id,
             ),
@@ -197,7 +197,7 @@
         reason = "no decode worker is listed"
         return [
             StageChange(
-                worker=best.belief.worker, stage=Stage.DECODE, reason=reason, is_urgent=True
+                worker=best.tracked.worker, stage=Stage.DECODE, reason=reason, is_urgent=True
             )
         ]
 
@@ -230,7 +230,7 @@
         reason = _reason(present, wanted, counts, scale, work)
         by_id = {engine.id: engine for engine in free}
         return [
-            StageChange(worker=by_id[worker_id].belief.worker, stage=stage, reason=reason)
+            StageChange(worker=by_id[worker_id].tracked.worker, stage=stage, reason=reason)
             for worker_id in first
         ]
 
@@ -241,13 +241,13 @@
 
 
 def _engines(
-    beliefs: Sequence[WorkerBelief], ordered: dict[str, Stage], paces: PaceView, now: float
+    tracked_workers: Sequence[TrackedWorker], ordered: dict[str, Stage], paces: PaceView, now: float
 ) -> list[_Engine]:
     """The listed engines of both stages; ordered changes count as carried out."""
     engines = []
-    for belief in beliefs:
-        worker = belief.worker
-        is_listed = belief.gone_at is None and worker.state is WorkerState.READY
+    for tracked in tracked_workers:
+        worker = tracked.worker
+        is_listed = tracked.gone_at is None and worker.state is WorkerState.READY
         if worker.stage is None or not is_listed:
             continue
         reading = paces.estimate(worker.id, WorkKind.READING, now).factor
@@ -255,7 +255,7 @@
         stage = ordered.get(worker.id, worker.stage)
         engines.append(
             _Engine(
-                belief=belief,
+                tracked=tracked,
                 stage=stage,
                 is_arriving=stage is not worker.stage,
                 speed_by_stage={Stage.PREFILL: _speed(reading), Stage.DECODE: _speed(token)},
@@ -309,7 +309,7 @@
     speeds = [
         engine.speed_by_stage[Stage.DECODE]
         for engine in engines
-        if engine.belief.worker.stage is Stage.DECODE
+        if engine.tracked.worker.stage is Stage.DECODE
     ]
     return mix.decode_s * (sum(speeds) / len(speeds) if speeds else 1.0)
 
@@ -362,8 +362,8 @@
         candidates=[
             stage_search.Candidate(
                 id=engine.id,
-                hall=engine.belief.worker.zone,
-                tokens=engine.belief.tokens_in_flight,
+                hall=engine.tracked.worker.zone,
+                tokens=engine.tracked.tokens_in_flight,
                 given=engine.speed_by_stage[other],
                 gained=engine.speed_by_stage[stage],
             )
@@ -373,7 +373,7 @@
         taker=stage_search.Side(asked=asked_by_stage[stage], speed=_summed_speed(engines, stage)),
         spare=spare,
         decodes_by_hall=Counter(
-            engine.belief.worker.zone for engine in engines if engine.stage is Stage.DECODE
+            engine.tracked.worker.zone for engine in engines if engine.stage is Stage.DECODE
         ),
         is_to_decode=stage is Stage.DECODE,
     )
--- a/src/croftchute/systems/worker_belief.py
+++ b/src/croftchute/systems/tracked_worker.py
@@ -28,7 +28,7 @@
 
 
 @dataclass(kw_only=True, slots=True)
-class WorkerBelief:
+class TrackedWorker:
     """One life of a worker with everything believed about it, and the age of each belief.
 
     ``has_ended``: the worker has begun another life. ``is_unreadable``: its newest entry names no
--- a/src/croftchute/systems/worker_choice.py
+++ b/src/croftchute/systems/worker_choice.py
@@ -8,7 +8,7 @@
 from typing import Protocol
 
 from croftchute.systems.rendezvous import weight
-from croftchute.systems.worker_belief import WorkerBelief
+from croftchute.systems.tracked_worker import TrackedWorker
 from croftchute.tables.paces import PredictedEnd
 from croftchute.tables.routing import Route, Stage
 
@@ -75,85 +75,85 @@
     typical_s: float = 0.0
 
 
-def others_at(belief: WorkerBelief, around: Surroundings, now: float) -> float:
+def others_at(tracked: TrackedWorker, around: Surroundings, now: float) -> float:
     """Requests of other boxes at a worker.
 
     What peers told is some hundred milliseconds old: it says something of streams, which last for
     seconds; for short work it would send all boxes to the same worker.
     """
-    running = belief.others_running(now)
-    if belief.worker.stage is Stage.DECODE:
-        running = max(running, around.peers.in_flight(belief.worker.id, now))
+    running = tracked.others_running(now)
+    if tracked.worker.stage is Stage.DECODE:
+        running = max(running, around.peers.in_flight(tracked.worker.id, now))
     return running
 
 
-def cost_of(belief: WorkerBelief, around: Surroundings, now: float) -> float:
+def cost_of(tracked: TrackedWorker, around: Surroundings, now: float) -> float:
     """The cost of giving a worker one more request, in units of a full worker."""
-    worker = belief.worker
-    elsewhere = others_at(belief, around, now)
-    cost = (belief.in_flight + elsewhere) / max(1, worker.slots)
+    worker = tracked.worker
+    elsewhere = others_at(tracked, around, now)
+    cost = (tracked.in_flight + elsewhere) / max(1, worker.slots)
     if around.kv_tokens > 0:
-        cost += belief.tokens_in_flight / around.kv_tokens
+        cost += tracked.tokens_in_flight / around.kv_tokens
         cost += elsewhere * TYPICAL_TOKENS / around.kv_tokens
-    cost += FAILURE_COST * belief.failure_score(now)
+    cost += FAILURE_COST * tracked.failure_score(now)
     cost += PEER_FAILURE_COST * min(MAX_PEER_FAILURES, around.peers.failures(worker.id, now))
     zone, typical_s = around.zone, around.typical_s
-    if belief.worker.zone != zone:
+    if tracked.worker.zone != zone:
         cost += FAR_COST
-    if typical_s > 0.0 and belief.latency_s > 0.0:
-        cost += LATENCY_COST * max(0.0, belief.latency_s / typical_s - 1.0)
+    if typical_s > 0.0 and tracked.latency_s > 0.0:
+        cost += LATENCY_COST * max(0.0, tracked.latency_s / typical_s - 1.0)
     return cost
 
 
 def choose(
-    candidates: Sequence[WorkerBelief],
+    candidates: Sequence[TrackedWorker],
     *,
     around: Surroundings,
     avoid: Collection[str],
     now: float,
     rng: random.Random,
     affinity: str = "",
-) -> tuple[WorkerBelief, ChoiceInput] | None:
+) -> tuple[TrackedWorker, ChoiceInput] | None:
     """The cheapest candidate that is not to be avoided; ties are broken at random.
 
     Of many candidates some are looked at: any, or those that ``affinity`` names.
     """
-    left = [belief for belief in candidates if belief.worker.id not in avoid]
+    left = [tracked for tracked in candidates if tracked.worker.id not in avoid]
     if not left:
         return None
     if len(left) > SAMPLE:
         left = by_affinity(left, affinity)[:SAMPLE] if affinity else rng.sample(left, SAMPLE)
-    latencies = sorted(belief.latency_s for belief in left if belief.latency_s > 0.0)
+    latencies = sorted(tracked.latency_s for tracked in left if tracked.latency_s > 0.0)
     typical_s = latencies[len(latencies) // 2] if latencies else 0.0
     around = replace(around, typical_s=typical_s)
     costs = [
         (
-            round(cost_of(belief, around, now), COST_DIGITS),
+            round(cost_of(tracked, around, now), COST_DIGITS),
             rng.random(),
-            belief,
+            tracked,
         )
-        for belief in left
+        for tracked in left
     ]
     _, _, best = min(costs, key=lambda entry: entry[:2])
     return best, describe(best, around, now, candidates=len(left))
 
 
-def by_affinity(candidates: Sequence[WorkerBelief], affinity: str) -> list[WorkerBelief]:
+def by_affinity(candidates: Sequence[TrackedWorker], affinity: str) -> list[TrackedWorker]:
     """Workers in the order in which a text prefers them, alike at all boxes (rendezvous hash)."""
-    return sorted(candidates, key=lambda belief: weight(affinity, belief.worker.id), reverse=True)
+    return sorted(candidates, key=lambda tracked: weight(affinity, tracked.worker.id), reverse=True)
 
 
 def describe(
-    belief: WorkerBelief, around: Surroundings, now: float, *, candidates: int
+    tracked: TrackedWorker, around: Surroundings, now: float, *, candidates: int
 ) -> ChoiceInput:
     """What is known of a chosen worker, for the log."""
     return ChoiceInput(
-        worker=belief.worker.id,
-        cost=round(cost_of(belief, around, now), 3),
-        in_flight=belief.in_flight,
-        others=others_at(belief, around, now),
-        failures=round(belief.failure_score(now), 3),
-        age_s=round(now - belief.listed_at, 3),
+        worker=tracked.worker.id,
+        cost=round(cost_of(tracked, around, now), 3),
+        in_flight=tracked.in_flight,
+        others=others_at(tracked, around, now),
+        failures=round(tracked.failure_score(now), 3),
+        age_s=round(now - tracked.listed_at, 3),
         candidates=candidates,
     )
 
--- a/src/croftchute/systems/worker_table.py
+++ b/src/croftchute/systems/worker_table.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass, field
 
 from croftchute.storage.watched import StoredItem
-from croftchute.systems.worker_belief import GONE_GRACE_S, WorkerBelief
+from croftchute.systems.tracked_worker import GONE_GRACE_S, TrackedWorker
 from croftchute.systems.worker_limits import WorkerLimits
 from croftchute.systems.worker_wishes import WorkerWishes
 from croftchute.tables.routing import Stage, Worker, WorkerState
@@ -54,10 +54,10 @@
     Of those that are ``closed`` a limit that they name for all boxes is reached.
     """
 
-    listed: list[WorkerBelief] = field(default_factory=list)
-    last_resorts: list[WorkerBelief] = field(default_factory=list)
-    resting: list[WorkerBelief] = field(default_factory=list)
-    closed: list[WorkerBelief] = field(default_factory=list)
+    listed: list[TrackedWorker] = field(default_factory=list)
+    last_resorts: list[TrackedWorker] = field(default_factory=list)
+    resting: list[TrackedWorker] = field(default_factory=list)
+    closed: list[TrackedWorker] = field(default_factory=list)
 
 
 @dataclass(kw_only=True)
@@ -71,11 +71,11 @@
     revision: int = 0
     heard_at: float = 0.0
     lapsed_grace_s: float = LAPSED_GRACE_S
-    beliefs_by_id: dict[str, WorkerBelief] = field(default_factory=dict)
+    tracked_by_id: dict[str, TrackedWorker] = field(default_factory=dict)
     wishes: WorkerWishes = field(default_factory=WorkerWishes)
     limits: WorkerLimits = field(default_factory=WorkerLimits)
-    _beliefs_by_service: dict[str, dict[str, WorkerBelief]] = field(default_factory=dict)
-    _current_by_name: dict[str, WorkerBelief] = field(default_factory=dict)
+    _tracked_by_service: dict[str, dict[str, TrackedWorker]] = field(default_factory=dict)
+    _current_by_name: dict[str, TrackedWorker] = field(default_factory=dict)
     _ended: list[Worker] = field(default_factory=list)
 
     def upsert(self, worker: Worker, now: float, item: StoredItem | None = None) -> bool:
@@ -91,28 +91,30 @@
             self.wishes.note_leaving(worker.id, now, known_for_s=math.inf)
         if current is not None and current.worker.id != worker.id:
             self._end_life(current, now)
-        belief = self.beliefs_by_id.get(worker.id)
-        if belief is None:
-            self._add(WorkerBelief(worker=worker, listed_at=now, item=item))
+        tracked = self.tracked_by_id.get(worker.id)
+        if tracked is None:
+            self._add(TrackedWorker(worker=worker, listed_at=now, item=item))
             return True
-        self._current_by_name[worker.list_name] = belief
-        belief.item = item
-        is_changed = belief.worker != worker or belief.gone_at is not None or belief.is_unreadable
-        if belief.worker.service != worker.service:
-            del self._beliefs_by_service[belief.worker.service][worker.id]
-            self._beliefs_by_service.setdefault(worker.service, {})[worker.id] = belief
-        if belief.worker.stage is not worker.stage:
-            belief.changing_to = None
-            belief.changing_until = 0.0
-        belief.worker = worker
-        belief.listed_at = now
-        belief.gone_at = None
-        belief.has_ended = False
-        belief.is_unreadable = False
-        belief.has_lapsed = False
-        if is_changed and belief.displaced:
-            belief.displaced = False
-            belief.failures = 0.0
+        self._current_by_name[worker.list_name] = tracked
+        tracked.item = item
+        is_changed = (
+            tracked.worker != worker or tracked.gone_at is not None or tracked.is_unreadable
+        )
+        if tracked.worker.service != worker.service:
+            del self._tracked_by_service[tracked.worker.service][worker.id]
+            self._tracked_by_service.setdefault(worker.service, {})[worker.id] = tracked
+        if tracked.worker.stage is not worker.stage:
+            tracked.changing_to = None
+            tracked.changing_until = 0.0
+        tracked.worker = worker
+        tracked.listed_at = now
+        tracked.gone_at = None
+        tracked.has_ended = False
+        tracked.is_unreadable = False
+        tracked.has_lapsed = False
+        if is_changed and tracked.displaced:
+            tracked.displaced = False
+            tracked.failures = 0.0
         return is_changed
 
     def note_unreadable(self, name: str, item: StoredItem) -> bool:
@@ -140,13 +142,13 @@
         so have all with ``is_lapse``. Returns the ids of the lives that are gone.
         """
         known = (self._current_by_name.get(name) for name in names)
-        gone = [belief for belief in known if belief is not None and belief.gone_at is None]
-        gone_by_service = Counter(belief.worker.service for belief in gone)
+        gone = [tracked for tracked in known if tracked is not None and tracked.gone_at is None]
+        gone_by_service = Counter(tracked.worker.service for tracked in gone)
         lapsed = {service for service, n in gone_by_service.items() if self._is_lapse(service, n)}
-        for belief in gone:
-            belief.gone_at = now
-            belief.has_lapsed = is_lapse or belief.worker.service in lapsed
-        return [belief.worker.id for belief in gone]
+        for tracked in gone:
+            tracked.gone_at = now
+            tracked.has_lapsed = is_lapse or tracked.worker.service in lapsed
+        return [tracked.worker.id for tracked in gone]
 
     def keep_only(self, names: set[str], now: float, *, is_lapse: bool = False) -> list[str]:
         """Mark all workers as gone that a whole listing did not name; returns those.
@@ -159,27 +161,29 @@
 
     def has_lapsed(self, worker_id: str) -> bool:
         """Whether a worker's entry went together with those of others of its service."""
-        belief = self.beliefs_by_id.get(worker_id)
-        return belief is not None and belief.has_lapsed
+        tracked = self.tracked_by_id.get(worker_id)
+        return tracked is not None and tracked.has_lapsed
 
     def sweep(self, now: float) -> list[str]:
         """Forget workers that left the list some time ago and run nothing of ours."""
         old = [
             worker_id
-            for worker_id, belief in self.beliefs_by_id.items()
-            if belief.gone_at is not None
-            and now - belief.gone_at > belief.grace_s(self.lapsed_grace_s)
-            and belief.in_flight == 0
+            for worker_id, tracked in self.tracked_by_id.items()
+            if tracked.gone_at is not None
+            and now - tracked.gone_at > tracked.grace_s(self.lapsed_grace_s)
+            and tracked.in_flight == 0
         ]
         for worker_id in old:
-            belief = self.beliefs_by_id.pop(worker_id)
-            del self._beliefs_by_service[belief.worker.service][worker_id]
-            if self._current_by_name.get(belief.worker.list_name) is belief:
-                del self._current_by_name[belief.worker.list_name]
-        self.wishes.sweep(now, listed=self.beliefs_by_id)
+            tracked = self.tracked_by_id.pop(worker_id)
+            del self._tracked_by_service[tracked.worker.service][worker_id]
+            if self._current_by_name.get(tracked.worker.list_name) is tracked:
+                del self._current_by_name[tracked.worker.list_name]
+        self.wishes.sweep(now, listed=self.tracked_by_id)
         return old
 
-    def usable(self, service: str, now: float, *, stage: Stage | None = None) -> list[WorkerBelief]:
+    def usable(
+        self, service: str, now: float, *, stage: Stage | None = None
+    ) -> list[TrackedWorker]:
         """Workers that new work may go to; leaving, just gone and resting ones if no other is left.
 
         Workers whose entries lapsed count like listed ones: all boxes would otherwise turn to the
@@ -190,9 +194,10 @@
             return standings.listed or standings.last_resorts
         # A stream takes two sendings, an ask for room and itself: engines that rest get none.
         return [
-            belief
-            for belief in standings.resting
-            if belief.worker.stage is None and self.wishes.may_be_last_resort(belief.worker.id, now)
+            tracked
+            for tracked in standings.resting
+            if tracked.worker.stage is None
+            and self.wishes.may_be_last_resort(tracked.worker.id, now)
         ]
 
     def rest_left_s(self, service: str, now: float, *, stage: Stage | None = None) -> float:
@@ -212,94 +217,94 @@
         leaving_by_id = self.wishes.leaving_by_id
         resting = self.wishes.resting(now)
         has_limits = bool(self.limits.by_id)
-        for worker_id, belief in self._beliefs_by_service.get(service, {}).items():
-            if not belief.fits(stage, now):
+        for worker_id, tracked in self._tracked_by_service.get(service, {}).items():
+            if not tracked.fits(stage, now):
                 continue
             if has_limits and self.limits.closed_s(worker_id, now) > 0.0:
-                found.closed.append(belief)
+                found.closed.append(tracked)
             elif worker_id in leaving_by_id:
                 leaving_s = now - leaving_by_id[worker_id].since
                 if leaving_s <= min(GONE_GRACE_S, self.lapsed_grace_s):
-                    found.last_resorts.append(belief)
-            elif belief.worker.state is not WorkerState.READY:
+                    found.last_resorts.append(tracked)
+            elif tracked.worker.state is not WorkerState.READY:
                 continue
             elif worker_id in resting:
-                found.resting.append(belief)
-            elif belief.gone_at is None:
-                found.listed.append(belief)
-            elif now - belief.gone_at <= belief.grace_s(self.lapsed_grace_s):
-                (found.listed if belief.has_lapsed else found.last_resorts).append(belief)
+                found.resting.append(tracked)
+            elif tracked.gone_at is None:
+                found.listed.append(tracked)
+            elif now - tracked.gone_at <= tracked.grace_s(self.lapsed_grace_s):
+                (found.listed if tracked.has_lapsed else found.last_resorts).append(tracked)
         return found
 
-    def _add(self, belief: WorkerBelief) -> None:
-        worker = belief.worker
-        self.beliefs_by_id[worker.id] = belief
-        self._beliefs_by_service.setdefault(worker.service, {})[worker.id] = belief
-        self._current_by_name[worker.list_name] = belief
+    def _add(self, tracked: TrackedWorker) -> None:
+        worker = tracked.worker
+        self.tracked_by_id[worker.id] = tracked
+        self._tracked_by_service.setdefault(worker.service, {})[worker.id] = tracked
+        self._current_by_name[worker.list_name] = tracked
 
-    def _end_life(self, belief: WorkerBelief, now: float) -> None:
+    def _end_life(self, tracked: TrackedWorker, now: float) -> None:
         """A worker has begun another life: nothing of this one is there any more."""
-        if belief.gone_at is None:
-            belief.gone_at = now
-        belief.has_ended = True
-        self._ended.append(belief.worker)
+        if tracked.gone_at is None:
+            tracked.gone_at = now
+        tracked.has_ended = True
+        self._ended.append(tracked.worker)
 
     def _is_lapse(self, service: str, gone: int) -> bool:
-        listed = sum(b.gone_at is None for b in self._beliefs_by_service[service].values())
+        listed = sum(b.gone_at is None for b in self._tracked_by_service[service].values())
         return gone >= MIN_LAPSED and gone >= LAPSED_SHARE * listed
 
-    def of_service(self, service: str) -> list[WorkerBelief]:
+    def of_service(self, service: str) -> list[TrackedWorker]:
         """All workers of a service, whatever their state."""
-        return list(self._beliefs_by_service.get(service, {}).values())
+        return list(self._tracked_by_service.get(service, {}).values())
 
     def note_sent(self, worker_id: str, tokens: int) -> None:
         """Count a request that is about to go to a worker."""
-        belief = self.beliefs_by_id.get(worker_id)
-        if belief is not None:
-            belief.in_flight += 1
-            belief.tokens_in_flight += tokens
+        tracked = self.tracked_by_id.get(worker_id)
+        if tracked is not None:
+            tracked.in_flight += 1
+            tracked.tokens_in_flight += tokens
 
     def note_ended(self, worker_id: str, tokens: int) -> None:
         """Count a request that is over at a worker."""
-        belief = self.beliefs_by_id.get(worker_id)
-        if belief is not None:
-            belief.in_flight -= 1
-            belief.tokens_in_flight -= tokens
+        tracked = self.tracked_by_id.get(worker_id)
+        if tracked is not None:
+            tracked.in_flight -= 1
+            tracked.tokens_in_flight -= tokens
 
     def note_answer(self, worker_id: str, latency_s: float, now: float) -> None:
         """A worker did its work in time; this clears half of the failures held against it."""
-        belief = self.beliefs_by_id.get(worker_id)
-        if belief is None:
+        tracked = self.tracked_by_id.get(worker_id)
+        if tracked is None:
             return
-        belief.failures = belief.failure_score(now) / 2.0
-        belief.failed_at = now
-        if belief.latency_s == 0.0:
-            belief.latency_s = latency_s
-        belief.latency_s += LATENCY_WEIGHT * (latency_s - belief.latency_s)
+        tracked.failures = tracked.failure_score(now) / 2.0
+        tracked.failed_at = now
+        if tracked.latency_s == 0.0:
+            tracked.latency_s = latency_s
+        tracked.latency_s += LATENCY_WEIGHT * (latency_s - tracked.latency_s)
 
     def note_pause(self, worker_id: str, pause_s: float) -> None:
         """A part of a stream came some time after the one before it."""
-        belief = self.beliefs_by_id.get(worker_id)
-        if belief is None:
+        tracked = self.tracked_by_id.get(worker_id)
+        if tracked is None:
             return
-        if belief.pause_s == 0.0:
-            belief.pause_s = pause_s
-        belief.pause_s += PAUSE_WEIGHT * (pause_s - belief.pause_s)
+        if tracked.pause_s == 0.0:
+            tracked.pause_s = pause_s
+        tracked.pause_s += PAUSE_WEIGHT * (pause_s - tracked.pause_s)
 
     def note_rejected(self, worker_id: str, now: float) -> None:
         """A worker said that it did not run a request: it is full, or leaving."""
-        belief = self.beliefs_by_id.get(worker_id)
-        if belief is not None:
-            belief.rejected_at = now
+        tracked = self.tracked_by_id.get(worker_id)
+        if tracked is not None:
+            tracked.rejected_at = now
 
     def note_failure(self, worker_id: str, weight: float, now: float) -> float:
         """Hold a failure against a worker; returns its score afterwards."""
-        belief = self.beliefs_by_id.get(worker_id)
-        if belief is None:
+        tracked = self.tracked_by_id.get(worker_id)
+        if tracked is None:
             return 0.0
-        belief.failures = min(MAX_FAILURES, belief.failure_score(now) + weight)
-        belief.failed_at = now
-        return belief.failures
+        tracked.failures = min(MAX_FAILURES, tracked.failure_score(now) + weight)
+        tracked.failed_at = now
+        return tracked.failures
 
     def note_load(
         self, worker_id: str, running: int, waiting: int, now: float, *, sent_since: int = 0
@@ -308,50 +313,50 @@
 
         ``sent_since`` are open requests of this box that may have come too late to be counted.
         """
-        belief = self.beliefs_by_id.get(worker_id)
-        if belief is not None and max(running, waiting) <= MOST_REQUESTS:
-            belief.load_running = running
-            belief.load_waiting = waiting
-            belief.load_at = now
-            belief.in_flight_at_load = belief.in_flight - sent_since
+        tracked = self.tracked_by_id.get(worker_id)
+        if tracked is not None and max(running, waiting) <= MOST_REQUESTS:
+            tracked.load_running = running
+            tracked.load_waiting = waiting
+            tracked.load_at = now
+            tracked.in_flight_at_load = tracked.in_flight - sent_since
 
     def note_full(self, worker_id: str, until: float) -> None:
         """A worker had no room: do not ask it again before some time."""
-        belief = self.beliefs_by_id.get(worker_id)
-        if belief is not None:
-            belief.full_until = until
+        tracked = self.tracked_by_id.get(worker_id)
+        if tracked is not None:
+            tracked.full_until = until
 
     def note_unreachable(self, worker_id: str, now: float) -> None:
         """No connection to a worker came up: what can do without it should, for a while."""
-        belief = self.beliefs_by_id.get(worker_id)
-        if belief is not None:
-            belief.unreachable_until = now + UNREACHABLE_S
+        tracked = self.tracked_by_id.get(worker_id)
+        if tracked is not None:
+            tracked.unreachable_until = now + UNREACHABLE_S
 
     def note_changing(self, worker_id: str, stage: Stage, now: float, *, for_s: float) -> bool:
         """A worker changes its stage and takes no work meanwhile; True if that is news.
 
         The same change is news once: it is passed on from box to box, and comes back older.
         """
-        belief = self.beliefs_by_id.get(worker_id)
-        if belief is None or belief.worker.stage is stage:
+        tracked = self.tracked_by_id.get(worker_id)
+        if tracked is None or tracked.worker.stage is stage:
             return False
-        is_known = belief.changing_to is stage and now - belief.changing_since < CHANGE_KNOWN_S
+        is_known = tracked.changing_to is stage and now - tracked.changing_since < CHANGE_KNOWN_S
         if is_known:
             return False
-        belief.changing_to = stage
-        belief.changing_since = now
-        belief.changing_until = now + for_s
+        tracked.changing_to = stage
+        tracked.changing_since = now
+        tracked.changing_until = now + for_s
         return True
 
     def note_displaced(self, worker_id: str) -> None:
         """Another worker answered at this one's address: it is not there any more."""
-        belief = self.beliefs_by_id.get(worker_id)
-        if belief is not None:
-            belief.displaced = True
+        tracked = self.tracked_by_id.get(worker_id)
+        if tracked is not None:
+            tracked.displaced = True
 
 
-def _is_older(item: StoredItem | None, belief: WorkerBelief) -> bool:
+def _is_older(item: StoredItem | None, tracked: TrackedWorker) -> bool:
     """Whether an entry is older than the one that is believed: late news change nothing."""
-    if item is None or belief.item is None:
+    if item is None or tracked.item is None:
         return False
-    return item.revision < belief.item.revision
+    return item.revision < tracked.item.revision
--- a/tests/forwarding/workers/test_stage_orders.py
+++ b/tests/forwarding/workers/test_stage_orders.py
@@ -31,7 +31,7 @@
     monkeypatch.setattr(stage_orders, "give_stage_order", give)
     if has_lost_lease:
         made.store.put(LEASE_KEY, {"holder": "another"})
-    worker = box.state.workers.beliefs_by_id["p0"].worker
+    worker = box.state.workers.tracked_by_id["p0"].worker
     change = StageChange(worker=worker, stage=Stage.DECODE, reason="test")
     now = box.state.clock()
     orders = box.orders
@@ -78,8 +78,8 @@
         async with fleet() as made:
             orders, _ = await order_once(made, monkeypatch)
             assert orders._ordered() == {"p0": Stage.DECODE}
-            belief = orders.state.workers.beliefs_by_id["p0"]
-            belief.worker = replace(belief.worker, stage=Stage.DECODE)
+            tracked = orders.state.workers.tracked_by_id["p0"]
+            tracked.worker = replace(tracked.worker, stage=Stage.DECODE)
             assert orders._ordered() == {}
 
     run(body)
@@ -92,8 +92,8 @@
         for answer, is_passed_over in ((202, True), (AnswerLateError("no head"), False)):
             async with fleet() as made:
                 orders, _ = await order_once(made, monkeypatch, answer=answer)
-                belief = orders.state.workers.beliefs_by_id["p0"]
-                assert (belief.changing_until > orders.state.clock()) is is_passed_over
+                tracked = orders.state.workers.tracked_by_id["p0"]
+                assert (tracked.changing_until > orders.state.clock()) is is_passed_over
 
     run(body)
 
@@ -152,8 +152,10 @@
                 kv_tokens=engine.kv_tokens,
                 slots=engine.slots,
             )
-            beliefs = state.workers.of_service("llm")
-            assert found == wanted_changes(beliefs, state.fleet_demand("llm"), power, ordered={})
+            tracked_workers = state.workers.of_service("llm")
+            assert found == wanted_changes(
+                tracked_workers, state.fleet_demand("llm"), power, ordered={}
+            )
 
     run(body)
 
@@ -181,7 +183,7 @@
             box = await made.add_box()
             await made.add_worker("p0", service="llm", stage="prefill")
             await made.ready(box)
-            worker = box.state.workers.beliefs_by_id["p0"].worker
+            worker = box.state.workers.tracked_by_id["p0"].worker
             change = StageChange(worker=worker, stage=Stage.DECODE, reason="test")
             urgent = replace(change, is_urgent=True)
             found = []
--- a/tests/platform_adapter/platform_fleet.py
+++ b/tests/platform_adapter/platform_fleet.py
@@ -138,7 +138,7 @@
         """Wait until a box knows the configuration and as many workers as there are."""
         wanted = len(self.workers_by_id) if workers is None else workers
         await until(
-            lambda: box.is_ready and len(box.state.workers.beliefs_by_id) >= wanted,
+            lambda: box.is_ready and len(box.state.workers.tracked_by_id) >= wanted,
         )
 
     async def close(self):
--- a/tests/platform_adapter/stream_fleet.py
+++ b/tests/platform_adapter/stream_fleet.py
@@ -26,8 +26,8 @@
 
 def prefer(box, worker_id):
     """Have a box choose one worker before all others of its stage."""
-    beliefs = box.state.workers.beliefs_by_id
-    for other in beliefs.values():
-        if other.worker.stage is beliefs[worker_id].worker.stage:
+    tracked_workers = box.state.workers.tracked_by_id
+    for other in tracked_workers.values():
+        if other.worker.stage is tracked_workers[worker_id].worker.stage:
             box.state.workers.note_failure(other.worker.id, 2.0, box.state.clock())
-    beliefs[worker_id].failures = 0.0
+    tracked_workers[worker_id].failures = 0.0
--- a/tests/platform_adapter/test_crashing_requests.py
+++ b/tests/platform_adapter/test_crashing_requests.py
@@ -300,8 +300,8 @@
             await until(lambda: any(worker.ran for worker in decode))
             leaving = next(worker for worker in decode if worker.ran)
             made.store.put(f"servers/{leaving.id}", leaving.entry("llm", "a", "draining"))
-            beliefs = box.state.workers.beliefs_by_id
-            await until(lambda: beliefs[leaving.id].worker.state is WorkerState.DRAINING)
+            tracked_workers = box.state.workers.tracked_by_id
+            await until(lambda: tracked_workers[leaving.id].worker.state is WorkerState.DRAINING)
             leaving.stop()
             await asking
             assert not box.state.crashes.by_digest
--- a/tests/platform_adapter/test_hall_news.py
+++ b/tests/platform_adapter/test_hall_news.py
@@ -90,12 +90,12 @@
             worker = made.workers_by_id["w1"]
             made.store.put("servers/w1", worker.entry("desk", "a", "draining"))
             for box in boxes:
-                beliefs = box.state.workers.beliefs_by_id
-                await until(lambda b=beliefs: b["w1"].worker.state is WorkerState.DRAINING)
+                tracked_workers = box.state.workers.tracked_by_id
+                await until(lambda b=tracked_workers: b["w1"].worker.state is WorkerState.DRAINING)
             made.store.remove("servers/w1")
             for box in boxes:
-                beliefs = box.state.workers.beliefs_by_id
-                await until(lambda b=beliefs: "w1" not in b or b["w1"].gone_at is not None)
+                tracked_workers = box.state.workers.tracked_by_id
+                await until(lambda b=tracked_workers: "w1" not in b or b["w1"].gone_at is not None)
 
     run(body)
 
--- a/tests/platform_adapter/test_leaving_workers.py
+++ b/tests/platform_adapter/test_leaving_workers.py
@@ -20,7 +20,7 @@
 from stream_fleet import PARTS, engines, prefer
 
 from croftchute.forwarding.workers.crash_watch import note_broken
-from croftchute.systems.worker_belief import GONE_GRACE_S
+from croftchute.systems.tracked_worker import GONE_GRACE_S
 
 LATER_REQUESTS = 12
 """Requests after the answer that tells: three workers at random would be missed by one in 130."""
@@ -128,7 +128,7 @@
             leaving.faults.is_leaving = True
             prefer(box, "w0")
             assert (await ask(box, "/once/x", "first")).status == 200
-            note_broken(box.state, box.state.workers.beliefs_by_id["w0"].worker, "digest")
+            note_broken(box.state, box.state.workers.tracked_by_id["w0"].worker, "digest")
             assert not box.state.crashes.by_digest
             assert not box.state.lives_looked_at
 
--- a/tests/platform_adapter/test_life.py
+++ b/tests/platform_adapter/test_life.py
@@ -19,7 +19,7 @@
 from croftchute.forwarding.decision_log import Decision
 from croftchute.forwarding.store.store_follower import WORKERS_PAUSE_S
 from croftchute.router_settings import LimitSettings, parse_router_settings
-from croftchute.systems.worker_belief import GONE_GRACE_S
+from croftchute.systems.tracked_worker import GONE_GRACE_S
 
 ROOT = Path(__file__).resolve().parents[2]
 SETTINGS = {
--- a/tests/platform_adapter/test_limits_in_trouble.py
+++ b/tests/platform_adapter/test_limits_in_trouble.py
@@ -238,7 +238,7 @@
     async def body():
         async with fleet() as made:
             box, (decode, _), _ = await engines(made)
-            worker = box.state.workers.beliefs_by_id["d0"].worker
+            worker = box.state.workers.tracked_by_id["d0"].worker
             exhaust(box, "d0")
             status = await give_stage_order(
                 box.state, worker, Stage.PREFILL, holder="box-1", token=1
--- a/tests/platform_adapter/test_lives.py
+++ b/tests/platform_adapter/test_lives.py
@@ -19,8 +19,8 @@
     return again
 
 
-def belief(box, worker_id):
-    return box.state.workers.beliefs_by_id[worker_id]
+def tracked(box, worker_id):
+    return box.state.workers.tracked_by_id[worker_id]
 
 
 def test_a_new_life_inherits_nothing_that_was_believed_of_the_earlier_one():
@@ -34,8 +34,8 @@
             state.workers.note_unreachable("w1@1000", now)
             state.workers.note_displaced("w1@1000")
             again = await restart(made, worker, born_ms=2000, service="desk")
-            await until(lambda: "w1@2000" in state.workers.beliefs_by_id)
-            new = belief(box, "w1@2000")
+            await until(lambda: "w1@2000" in state.workers.tracked_by_id)
+            new = tracked(box, "w1@2000")
             assert (new.failures, new.unreachable_until, new.displaced) == (0.0, 0.0, False)
             assert (new.in_flight, new.tokens_in_flight) == (0, 0)
             answer = await ask(box, "/safe/x", "r1")
@@ -59,7 +59,7 @@
             answer = await asking
             assert answer.is_whole and numbers(answer) == [1, 2, 3, 4]
             assert again.finished == ["r1"]
-            assert belief(box, "d0@2000").in_flight == 0
+            assert tracked(box, "d0@2000").in_flight == 0
 
     run(body)
 
@@ -70,9 +70,9 @@
             worker = await made.add_worker("w1", born_ms=1000)
             box = await made.add_box()
             await made.ready(box)
-            old = belief(box, "w1@1000").item
+            old = tracked(box, "w1@1000").item
             await restart(made, worker, born_ms=2000, service="desk")
-            await until(lambda: "w1@2000" in box.state.workers.beliefs_by_id)
+            await until(lambda: "w1@2000" in box.state.workers.tracked_by_id)
             box.follower._take_worker(old)
             usable = box.state.workers.usable("desk", box.state.clock())
             assert [found.worker.id for found in usable] == ["w1@2000"]
@@ -87,7 +87,7 @@
             box = await made.add_box()
             await made.ready(box)
             await restart(made, worker, born_ms=1000, service="desk")
-            await until(lambda: "w1@1000" in box.state.workers.beliefs_by_id)
+            await until(lambda: "w1@1000" in box.state.workers.tracked_by_id)
             usable = box.state.workers.usable("desk", box.state.clock())
             assert [found.worker.id for found in usable] == ["w1@1000"]
 
@@ -102,9 +102,9 @@
             box = await made.add_box()
             await made.ready(box)
             await restart(made, worker, born_ms=2000, service="desk")
-            await until(lambda: "w1@2000" in box.state.workers.beliefs_by_id)
+            await until(lambda: "w1@2000" in box.state.workers.tracked_by_id)
             made.store.remove("servers/w1")
-            await until(lambda: belief(box, "w1@2000").gone_at is not None)
+            await until(lambda: tracked(box, "w1@2000").gone_at is not None)
             usable = box.state.workers.usable("desk", box.state.clock())
             assert [found.worker.id for found in usable] == ["w2@1000"]
 
@@ -121,14 +121,14 @@
             asking = asyncio.create_task(ask(box, "/once/x", "r1"))
             await until(lambda: spoiled.ran == ["r1"])
             made.store.put("servers/w1", spoiled.entry("desk", "a") | {"Slots": "many"})
-            await until(lambda: belief(box, "w1").is_unreadable)
+            await until(lambda: tracked(box, "w1").is_unreadable)
             for number in range(6):
                 assert (await ask(box, "/once/x", f"n{number}")).status == 200
             assert len(sound.ran) == 6 and (await asking).status == 200
             made.store.put("servers/w1", spoiled.entry("desk", "a"))
-            await until(lambda: not belief(box, "w1").is_unreadable)
+            await until(lambda: not tracked(box, "w1").is_unreadable)
             made.store.remove("servers/w2")
-            await until(lambda: belief(box, "w2").gone_at is not None)
+            await until(lambda: tracked(box, "w2").gone_at is not None)
             assert (await ask(box, "/once/x", "back")).status == 200
             assert spoiled.ran == ["r1", "back"]
 
@@ -144,7 +144,7 @@
             for number in range(500):
                 made.store.put(f"servers/x{number}", {"Service": number})
             made.store.put("servers/w9", made.workers_by_id["w1"].entry("desk", "a"))
-            await until(lambda: "w9" in box.state.workers.beliefs_by_id)
+            await until(lambda: "w9" in box.state.workers.tracked_by_id)
             assert box.follower._unreadable == 500
 
     run(body)
@@ -168,7 +168,7 @@
                     again = await restart(made, worker, born_ms=born_ms, crashes_on=b"crashes")
                     lives.append(again)
                     life = f"{again.id}@{born_ms}"
-                    await until(lambda: life in box.state.workers.beliefs_by_id)  # noqa: B023
+                    await until(lambda: life in box.state.workers.tracked_by_id)  # noqa: B023
             ended = [worker for worker in made.workers_by_id.values() if worker.has_crashed]
             assert len(ended) == 3
 
@@ -181,7 +181,7 @@
             worker = await made.add_worker("p0", service="llm", stage="prefill", born_ms=1)
             box = await made.add_box()
             await made.ready(box)
-            listed = box.state.workers.beliefs_by_id["p0@1"].worker
+            listed = box.state.workers.tracked_by_id["p0@1"].worker
             worker.born_ms = 2
             status = await give_stage_order(
                 box.state, listed, Stage.DECODE, holder="box-1", token=1
@@ -198,7 +198,7 @@
             box = await made.add_box()
             await made.ready(box)
             worker.id = "another"
-            listed = box.state.workers.beliefs_by_id["d0"].worker
+            listed = box.state.workers.tracked_by_id["d0"].worker
             await ask_kept_parts(box.state, listed)
             assert box.state.workers.usable("llm", box.state.clock()) == []
 
--- a/tests/platform_adapter/test_load_probe.py
+++ b/tests/platform_adapter/test_load_probe.py
@@ -67,7 +67,7 @@
     return [facts for found, facts in seen if found is kind]
 
 
-def beliefs(box, stage):
+def tracked_workers(box, stage):
     return box.state.workers.usable("llm", box.state.clock(), stage=stage)
 
 
@@ -139,13 +139,13 @@
             for worker in prefill:
                 worker.faults.health_status = 503
                 worker.load = "2,1,128,250"
-            loads = await probe_loads(box.state, llm(box), beliefs(box, Stage.PREFILL), 5.0)
+            loads = await probe_loads(box.state, llm(box), tracked_workers(box, Stage.PREFILL), 5.0)
             assert {key: (load.running, load.waiting) for key, load in loads.items()} == {
                 "p0": (2, 1),
                 "p1": (2, 1),
             }
             assert {load.pace for load in loads.values()} == {2.5}
-            for known in beliefs(box, Stage.PREFILL):
+            for known in tracked_workers(box, Stage.PREFILL):
                 assert known.others_running(box.state.clock()) == 3
 
     run(body)
@@ -163,11 +163,11 @@
             loop = asyncio.get_running_loop()
             began = loop.time()
             loads = await probe_loads(
-                box.state, llm(box), beliefs(box, Stage.PREFILL), PROBE_TIMEOUT_S
+                box.state, llm(box), tracked_workers(box, Stage.PREFILL), PROBE_TIMEOUT_S
             )
             assert loop.time() - began < 10 * PROBE_TIMEOUT_S
             assert set(loads) <= {sound.id}
-            for known in beliefs(box, Stage.PREFILL):
+            for known in tracked_workers(box, Stage.PREFILL):
                 assert known.failures == 0.0
                 assert known.unreachable_until == 0.0
                 if known.worker.id != sound.id:
@@ -184,7 +184,7 @@
         async with fleet(config=probed_config()) as made:
             box, prefill = await probed(made, prefills=1)
             prefill[0].faults.health_wait_s = 0.1
-            known = beliefs(box, Stage.PREFILL)
+            known = tracked_workers(box, Stage.PREFILL)
             prefill[0].load = "4,0,128,100"
             assert await probe_loads(box.state, llm(box), known, 0.001) == {}
             await until(lambda: not box.state.background)
@@ -248,7 +248,7 @@
                     raise AssertionError("nothing was taken")
 
             box.state.permits = NoneLeft()
-            known = beliefs(box, Stage.PREFILL)
+            known = tracked_workers(box, Stage.PREFILL)
             loads = await probe_loads(box.state, llm(box), known, 5.0)
             assert sorted(asked) == ["p0", "p1", "p2"]
             assert set(loads) == {"p1", "p2"}
@@ -264,7 +264,7 @@
         async with fleet(config=probed_config()) as made:
             box, prefill = await probed(made, prefills=1)
             prefill[0].id = "another"
-            known = beliefs(box, Stage.PREFILL)
+            known = tracked_workers(box, Stage.PREFILL)
             assert await probe_loads(box.state, llm(box), known, 5.0) == {}
             assert known[0].displaced and known[0].load_at < 0.0
 
@@ -294,7 +294,7 @@
                 worker.load = load
             assert (await ask(box, "/stream/x")).is_whole
             assert [len(probes(worker)) for worker in prefill] == [1, 1]
-            for known in beliefs(box, Stage.PREFILL):
+            for known in tracked_workers(box, Stage.PREFILL):
                 assert known.load_at < 0.0 and known.failures == 0.0
 
     run(body)
@@ -308,7 +308,7 @@
         async with fleet(config=probed_config()) as made:
             box, prefill = await probed(made, prefills=1)
             prefill[0].load = f"2,1,8,{pace}"
-            known = beliefs(box, Stage.PREFILL)
+            known = tracked_workers(box, Stage.PREFILL)
             assert set(await probe_loads(box.state, llm(box), known, 5.0)) == {"p0"}
             assert known[0].load_running == 2
             assert not box.state.paces.is_told(["p0"], box.state.clock())
@@ -362,7 +362,7 @@
             await made.ready(box)
             state = box.state
             request = run_of(box, "/stream/" if stage else "/safe/", service=service)
-            decode = next(iter(state.workers.beliefs_by_id.values()))
+            decode = next(iter(state.workers.tracked_by_id.values()))
             near = decode.worker.zone if stage is Stage.PREFILL else ""
             state.clock = lambda at=state.clock(): at
             for seed in range(30):
--- a/tests/platform_adapter/test_plain_calls.py
+++ b/tests/platform_adapter/test_plain_calls.py
@@ -202,7 +202,7 @@
             worker.id = "somebody-else"
             answer = await ask(box, "/safe/x", "r1")
             assert answer.body == b"answer of w2 to r1"
-            assert box.state.workers.beliefs_by_id["w1"].displaced
+            assert box.state.workers.tracked_by_id["w1"].displaced
 
     run(body)
 
@@ -218,7 +218,7 @@
             await until(lambda: worker.ran == ["r1"])
             writer.transport.abort()
             await until(lambda: worker.dropped == ["r1"])
-            assert box.state.workers.beliefs_by_id["w1"].in_flight == 0
+            assert box.state.workers.tracked_by_id["w1"].in_flight == 0
 
     run(body)
 
--- a/tests/platform_adapter/test_resting_workers.py
+++ b/tests/platform_adapter/test_resting_workers.py
@@ -135,7 +135,7 @@
         async with fleet() as made:
             box, (decode, *_), _ = await engines(made)
             state = box.state
-            worker = state.workers.beliefs_by_id["d0"].worker
+            worker = state.workers.tracked_by_id["d0"].worker
             hold = await take_hold(state, worker, 10, 2.0)
             state.workers.wishes.note_rest("d0", 0.3, state.clock())
             ends_at = state.clock() + 0.3
@@ -153,7 +153,7 @@
         async with fleet() as made:
             box, (decode, *_), _ = await engines(made)
             state = box.state
-            hold = await take_hold(state, state.workers.beliefs_by_id["d0"].worker, 10, 2.0)
+            hold = await take_hold(state, state.workers.tracked_by_id["d0"].worker, 10, 2.0)
             state.workers.wishes.note_rest("d0", 2 * LONGEST_LEASE_S, state.clock())
             await drop_hold(state, hold, "r1")
             assert [r.path for r in decode.received] == ["/hold-take"]
--- a/tests/platform_adapter/test_restored_store.py
+++ b/tests/platform_adapter/test_restored_store.py
@@ -89,12 +89,12 @@
             box = await plain_fleet(made, 3)
             copy = made.store.copy()
             await made.add_worker("new")
-            await until(lambda: "new" in box.state.workers.beliefs_by_id)
+            await until(lambda: "new" in box.state.workers.tracked_by_id)
             restore(made, copy)
             await knows_era(box, 4)
             workers, now = box.state.workers, box.state.clock()
             assert len(workers.usable("desk", now)) == 4
-            gone = workers.beliefs_by_id["new"]
+            gone = workers.tracked_by_id["new"]
             assert gone.has_lapsed
             assert len(workers.usable("desk", gone.gone_at + LAPSED_GRACE_S + 0.1)) == 3
 
--- a/tests/platform_adapter/test_silent_connections.py
+++ b/tests/platform_adapter/test_silent_connections.py
@@ -7,7 +7,7 @@
 from platform_fleet import ask, fleet, request_bytes, run, until
 from silent_link import SilentLink
 
-from croftchute.systems.worker_belief import REJECTED_LATELY_S
+from croftchute.systems.tracked_worker import REJECTED_LATELY_S
 
 USUAL_S = 0.3
 """Usual seconds between events of a slow engine."""
@@ -100,13 +100,13 @@
             worker = await made.add_worker("w1")
             box = await made.add_box()
             await made.ready(box)
-            belief = box.state.workers.beliefs_by_id["w1"]
-            assert not belief.has_rejected_lately(box.state.clock())
+            tracked = box.state.workers.tracked_by_id["w1"]
+            assert not tracked.has_rejected_lately(box.state.clock())
             worker.faults.is_full = True
             assert (await ask(box, "/once/x", "r1")).status == 503
             now = box.state.clock()
-            assert belief.has_rejected_lately(now)
-            assert not belief.has_rejected_lately(now + REJECTED_LATELY_S)
+            assert tracked.has_rejected_lately(now)
+            assert not tracked.has_rejected_lately(now + REJECTED_LATELY_S)
 
     run(body)
 
@@ -201,7 +201,7 @@
                 writer.write(request_bytes("/stream/x", "r1", deadline=600))
                 await until(lambda: worker.runs_of("r1") == 1)
                 await until(lambda: box.ingress.open_requests == 0)
-                assert box.state.workers.beliefs_by_id["w1"].in_flight == 0
+                assert box.state.workers.tracked_by_id["w1"].in_flight == 0
                 writer.transport.abort()
 
     run(body)
--- a/tests/platform_adapter/test_slow_readers.py
+++ b/tests/platform_adapter/test_slow_readers.py
@@ -144,7 +144,7 @@
             assert (await ask(box, "/stream/y", "r2")).is_whole
             got, is_whole = await caller.read_all()
             assert is_whole and got.count(b"data: token-") == EVENTS
-            assert box.state.workers.beliefs_by_id["d0"].failure_score(box.state.clock()) == 0.0
+            assert box.state.workers.tracked_by_id["d0"].failure_score(box.state.clock()) == 0.0
 
     run(body)
 
@@ -278,8 +278,8 @@
             assert not is_whole
             outcomes = [facts["outcome"] for kind, facts in lines if kind == "attempt_ended"]
             assert outcomes == ["caller_slow"]
-            belief = box.state.workers.beliefs_by_id["d0"]
-            assert belief.failure_score(box.state.clock()) == 0.0
+            tracked = box.state.workers.tracked_by_id["d0"]
+            assert tracked.failure_score(box.state.clock()) == 0.0
 
     run(body)
 
--- a/tests/platform_adapter/test_store_and_peers.py
+++ b/tests/platform_adapter/test_store_and_peers.py
@@ -36,7 +36,7 @@
             made.store.put("servers/w9", {"Service": "desk"})
             made.store.put("op/config", config(100))
             await until(lambda: box.state.table.version == 100)
-            assert "w9" not in box.state.workers.beliefs_by_id
+            assert "w9" not in box.state.workers.tracked_by_id
 
     run(body)
 
@@ -49,8 +49,8 @@
             box = await made.add_box()
             await made.ready(box)
             made.store.put("servers/leaving", leaving.entry("desk", "a", "draining"))
-            beliefs = box.state.workers.beliefs_by_id
-            await until(lambda: beliefs["leaving"].worker.state is WorkerState.DRAINING)
+            tracked_workers = box.state.workers.tracked_by_id
+            await until(lambda: tracked_workers["leaving"].worker.state is WorkerState.DRAINING)
             for number in range(10):
                 assert (await ask(box, "/once/x", f"r{number}")).status == 200
             assert leaving.ran == [] and len(staying.ran) == 10
@@ -67,9 +67,11 @@
             made.store.put("servers/w2", worker.entry("desk", "a"))
             made.store.remove("servers/w1")
             made.store.forget_history()
-            beliefs = box.state.workers.beliefs_by_id
-            await until(lambda: "w2" in beliefs)
-            await until(lambda: "w1" not in beliefs or beliefs["w1"].gone_at is not None)
+            tracked_workers = box.state.workers.tracked_by_id
+            await until(lambda: "w2" in tracked_workers)
+            await until(
+                lambda: "w1" not in tracked_workers or tracked_workers["w1"].gone_at is not None
+            )
 
     run(body)
 
@@ -105,7 +107,7 @@
             for number in range(180):
                 made.store.put(f"servers/x{number:03}", worker.entry("desk", "a"))
             box = await made.add_box()
-            await until(lambda: len(box.state.workers.beliefs_by_id) == 181)
+            await until(lambda: len(box.state.workers.tracked_by_id) == 181)
 
     run(body)
 
@@ -281,7 +283,7 @@
             first = boxes[0].state
             assert first.workers.note_changing("p0", Stage.DECODE, first.clock(), for_s=60.0)
             for box in boxes:
-                await until(lambda s=box.state: s.workers.beliefs_by_id["p0"].changing_until > 0)
+                await until(lambda s=box.state: s.workers.tracked_by_id["p0"].changing_until > 0)
             answer = await ask(boxes[2], "/stream/x")
             assert answer.is_whole
             assert made.workers_by_id["p0"].received == []
--- a/tests/platform_adapter/test_streams.py
+++ b/tests/platform_adapter/test_streams.py
@@ -39,7 +39,7 @@
         async with fleet() as made:
             box, decode, prefill = await engines(made, decodes=1)
             state = box.state
-            queue = state.workers.beliefs_by_id["p0"].queue
+            queue = state.workers.tracked_by_id["p0"].queue
             queue.sent("another", 10, state.clock() - 5.0)
             answer = await ask(box, "/stream/x")
             assert answer.is_whole
@@ -57,11 +57,11 @@
             box, decode, prefill = await engines(made, decodes=1)
             prefill[0].stop()
             assert (await ask(box, "/stream/x", "r1")).is_whole
-            belief = box.state.workers.beliefs_by_id["p0"]
-            assert belief.unreachable_until > box.state.clock()
-            failures = belief.failures
+            tracked = box.state.workers.tracked_by_id["p0"]
+            assert tracked.unreachable_until > box.state.clock()
+            failures = tracked.failures
             assert (await ask(box, "/stream/x", "r2")).is_whole
-            assert belief.failures == failures
+            assert tracked.failures == failures
             assert ran(decode, "r2") == 1
 
     run(body)
@@ -143,8 +143,8 @@
             decode[0].faults.handles_lapse = True
             assert (await ask(box, "/stream/x", "r1")).is_whole
             now = box.state.clock()
-            beliefs = box.state.workers.beliefs_by_id
-            scores = {name: beliefs[name].failure_score(now) for name in ("d0", "p0", "p1")}
+            tracked_workers = box.state.workers.tracked_by_id
+            scores = {name: tracked_workers[name].failure_score(now) for name in ("d0", "p0", "p1")}
             assert scores["d0"] == 0.0
             assert sorted(score > 0.5 for score in (scores["p0"], scores["p1"])) == [False, True]
 
@@ -164,7 +164,7 @@
             assert "x-croftchute-kv-source" in decode[1].received[-1].headers
             reads = [got for got in prefill[0].received if "x-croftchute-stage" in got.headers]
             assert len(reads) == 1
-            assert box.state.workers.beliefs_by_id["d0"].failure_score(box.state.clock()) > 2.0
+            assert box.state.workers.tracked_by_id["d0"].failure_score(box.state.clock()) > 2.0
 
     run(body)
 
--- a/tests/platform_adapter/test_streams_room.py
+++ b/tests/platform_adapter/test_streams_room.py
@@ -188,7 +188,7 @@
                 return await answer_soundly(request, reader, writer)
 
             decode[0]._answer = answer
-            worker = box.state.workers.beliefs_by_id[decode[0].id].worker
+            worker = box.state.workers.tracked_by_id[decode[0].id].worker
             with pytest.raises(AnswerLateError):
                 await take_hold(box.state, worker, 100, 3600.0)
             granted.set()
--- a/tests/systems/test_plain_queue.py
+++ b/tests/systems/test_plain_queue.py
@@ -12,7 +12,7 @@
     is_busy,
     place,
 )
-from croftchute.systems.worker_belief import WorkerBelief
+from croftchute.systems.tracked_worker import TrackedWorker
 from croftchute.tables.routing import Worker
 
 SLOTS, QUEUE = 6, 24
@@ -121,14 +121,14 @@
     assert time.usual_s == 0.09
 
 
-def belief(**known):
+def tracked(**known):
     worker = Worker(id="w", service="s", host="h", port=1, zone="z", slots=6)
-    return WorkerBelief(worker=worker, listed_at=0.0, **known)
+    return TrackedWorker(worker=worker, listed_at=0.0, **known)
 
 
 def test_a_service_is_busy_for_a_while_after_a_queue_or_a_rejection():
-    assert not is_busy([belief()], now=5.0)
-    assert not is_busy([belief(load_running=6, load_at=5.0)], now=5.0)
-    assert is_busy([belief(load_waiting=1, load_at=5.0)], now=5.0 + BUSY_FOR_S)
-    assert not is_busy([belief(load_waiting=1, load_at=5.0)], now=5.1 + BUSY_FOR_S)
-    assert is_busy([belief(), belief(rejected_at=5.0)], now=5.5)
+    assert not is_busy([tracked()], now=5.0)
+    assert not is_busy([tracked(load_running=6, load_at=5.0)], now=5.0)
+    assert is_busy([tracked(load_waiting=1, load_at=5.0)], now=5.0 + BUSY_FOR_S)
+    assert not is_busy([tracked(load_waiting=1, load_at=5.0)], now=5.1 + BUSY_FOR_S)
+    assert is_busy([tracked(), tracked(rejected_at=5.0)], now=5.5)
--- a/tests/systems/test_predicted_end.py
+++ b/tests/systems/test_predicted_end.py
@@ -21,7 +21,7 @@
     without_doubtful,
 )
 from croftchute.systems.prefill_pace import PrefillPace
-from croftchute.systems.worker_belief import WorkerBelief
+from croftchute.systems.tracked_worker import TrackedWorker
 from croftchute.systems.worker_choice import Surroundings, choose
 from croftchute.systems.worker_table import WorkerTable
 from croftchute.tables.paces import PaceEstimate, PaceSource, PredictedEnd
@@ -45,9 +45,9 @@
         return self._failures
 
 
-def belief(name="w", *, zone="near", slots=2, stage=None):
+def tracked(name="w", *, zone="near", slots=2, stage=None):
     worker = Worker(id=name, service="s", host="h", port=1, zone=zone, slots=slots, stage=stage)
-    return WorkerBelief(worker=worker, listed_at=0.0)
+    return TrackedWorker(worker=worker, listed_at=0.0)
 
 
 def pace(factor=1.0, age_s=0.1):
@@ -92,7 +92,7 @@
 
 def test_a_plain_request_waits_for_what_is_beyond_the_slots_at_the_pace():
     """Guards against waits that ignore the pace, or that begin before the slots are taken."""
-    known = belief()
+    known = tracked()
     assert plain(known, factor=2.0).total_s == pytest.approx(0.2)
     known.in_flight = 3
     found = plain(known, factor=2.0)
@@ -102,7 +102,7 @@
 
 def test_a_plain_worker_that_hangs_costs_more_before_its_first_call_times_out():
     """Guards against calls of a hanging worker until a time-out of 400 ms to 2 s."""
-    known = belief()
+    known = tracked()
     known.sent_at_by_call[object()] = 9.5
     known.sent_at_by_call[object()] = 9.9
     assert plain(known, now=9.75).overdue_s == 0.0
@@ -112,7 +112,7 @@
 
 def test_a_decode_worker_whose_pauses_would_be_too_long_costs_the_target():
     """Guards against streams at a worker so slow that its pauses alone make them late."""
-    known = belief(stage=Stage.DECODE)
+    known = tracked(stage=Stage.DECODE)
     assert decode(known, factor=4.0, gap_s=0.1).gap_s == 0.0
     assert decode(known, factor=6.0, gap_s=0.1).gap_s == 0.9
     assert decode(known, factor=6.0, gap_s=0.0).gap_s == 0.0
@@ -120,7 +120,7 @@
 
 def test_what_a_decode_worker_holds_counts_in_full_workers():
     """Guards against asking engines for holds that are known to be full."""
-    known = belief(slots=8, stage=Stage.DECODE)
+    known = tracked(slots=8, stage=Stage.DECODE)
     known.in_flight, known.tokens_in_flight = 2, 5_000
     around = Surroundings(zone="near", peers=PeerTable(own_id="me"), kv_tokens=20_000)
     assert decode(known, around=around).wait_s == pytest.approx(0.5 * 5.0)
@@ -129,8 +129,8 @@
 def test_a_prompt_waits_for_those_that_a_fresh_probe_told_and_for_those_sent_since():
     """Guards against prompts of this box that the probed worker had not received yet."""
     table = WorkerTable()
-    table.upsert(belief("p", stage=Stage.PREFILL).worker, 0.0)
-    known = table.beliefs_by_id["p"]
+    table.upsert(tracked("p", stage=Stage.PREFILL).worker, 0.0)
+    known = table.tracked_by_id["p"]
     table.note_sent("p", 5_000)
     known.queue.sent("r1", 5_000, 9.99)
     table.note_load("p", 2, 1, 10.0, sent_since=known.queue.sent_since(9.98))
@@ -139,7 +139,7 @@
 
 def test_a_fresh_probe_overrules_what_calls_waited_before():
     """Guards against a worker that is idle again being passed over for a wait of the past."""
-    known = belief(stage=Stage.PREFILL)
+    known = tracked(stage=Stage.PREFILL)
     known.queue.seen_wait_s, known.queue.seen_at = 0.6, 10.0
     assert prefill(known, told_wait_s=0.8).wait_s == pytest.approx(0.8)
     assert prefill(known).wait_s == pytest.approx(0.6)
@@ -149,7 +149,7 @@
 
 def test_a_prompt_is_overdue_only_beyond_what_was_predicted_when_it_was_sent():
     """Guards against counting a queue that was known as a second wait."""
-    known = belief(stage=Stage.PREFILL)
+    known = tracked(stage=Stage.PREFILL)
     known.queue.sent("r1", 5_000, 9.0, expected_s=0.8)
     assert prefill(known, now=9.7).overdue_s == 0.0
     assert prefill(known, now=10.0).overdue_s == pytest.approx(0.2)
@@ -157,19 +157,19 @@
 
 def test_another_hall_costs_some_round_trips():
     """Guards against work that leaves the hall for no gain."""
-    assert plain(belief(zone="far")).far_s == predicted_end.FAR_S
-    assert plain(belief()).far_s == 0.0
+    assert plain(tracked(zone="far")).far_s == predicted_end.FAR_S
+    assert plain(tracked()).far_s == 0.0
 
 
 @pytest.mark.parametrize("of", [plain, decode, prefill])
 def test_one_failure_costs_at_least_the_usual_time_and_those_of_peers_their_part(of):
     """Guards against failures that weigh less than in choices by cost."""
-    known = belief()
+    known = tracked()
     usual_s = of(known).work_s
     known.failures, known.failed_at = 1.0, 10.0
     assert of(known).failure_s >= usual_s
     around = Surroundings(zone="near", peers=PeersThatFailed(50.0))
-    assert of(belief(), around=around).failure_s >= 1.6 * usual_s
+    assert of(tracked(), around=around).failure_s >= 1.6 * usual_s
 
 
 def test_an_end_tells_its_parts_to_the_log():
@@ -188,9 +188,9 @@
     """Guards against the same worker probed twice, and against slow workers as often as quick."""
     names = ["slow", "usual", "quick", "quicker"]
     speeds = dict(zip(names, (0.25, 1.0, 1.5, 2.25), strict=True))
-    beliefs = [belief(name) for name in names]
+    tracked_workers = [tracked(name) for name in names]
     rng = random.Random(5)
-    first = [draw(beliefs, speeds=speeds, count=3, rng=rng) for _ in range(4000)]
+    first = [draw(tracked_workers, speeds=speeds, count=3, rng=rng) for _ in range(4000)]
     assert all(len({one.worker.id for one in drawn}) == 3 for drawn in first)
     for name, speed in speeds.items():
         part = sum(drawn[0].worker.id == name for drawn in first) / len(first)
@@ -199,7 +199,9 @@
 
 def test_a_draw_of_more_than_there_are_names_all():
     """Guards against an error in a service of one or two prefill workers."""
-    drawn = draw([belief("a"), belief("b")], speeds={"a": 1, "b": 1}, count=3, rng=random.Random(1))
+    drawn = draw(
+        [tracked("a"), tracked("b")], speeds={"a": 1, "b": 1}, count=3, rng=random.Random(1)
+    )
     assert {one.worker.id for one in drawn} == {"a", "b"}
 
 
@@ -233,8 +235,8 @@
     """Guards against a share for a worker that all choices by cost would leave out."""
     table = WorkerTable()
     for name in ("a", "b", "c"):
-        table.upsert(belief(name).worker, 0.0)
-    known = table.beliefs_by_id
+        table.upsert(tracked(name).worker, 0.0)
+    known = table.tracked_by_id
     table.note_failure("a", 1.0, 10.0)
 
     def picks(now):
@@ -258,10 +260,10 @@
 
 def test_failing_workers_are_never_shut_out_where_no_other_is_left():
     """Guards against a request that is refused though a worker that failed lately could serve."""
-    known = belief("a")
+    known = tracked("a")
     known.failures, known.failed_at = 4.0, 10.0
     assert draw_by_end({"a": plain(known)}, {"a"}, random.Random(1)) == "a"
-    sound = belief("b")
+    sound = tracked("b")
     kept = without_doubtful([known, sound], around=AROUND, now=10.0, least=1)
     assert kept == [sound]
     assert len(without_doubtful([known, sound], around=AROUND, now=10.0, least=3)) == 2
@@ -309,7 +311,7 @@
     """
     rng = random.Random(seed)
     names = [f"w{number}" for number in range(len(before))]
-    views = [{name: belief(name, slots=SLOTS) for name in names} for _ in range(boxes)]
+    views = [{name: tracked(name, slots=SLOTS) for name in names} for _ in range(boxes)]
     running = dict.fromkeys(names, 0)
     counts = dict.fromkeys(names, 0)
     open_calls = []
@@ -390,9 +392,10 @@
     counts = [0] * len(before)
     for seed in range(RUNS):
         rng = random.Random(seed)
-        beliefs = [belief(str(n), stage=Stage.PREFILL) for n in range(len(before))]
+        tracked_workers = [tracked(str(n), stage=Stage.PREFILL) for n in range(len(before))]
         views = [
-            [belief(one.worker.id, stage=Stage.PREFILL) for one in beliefs] for _ in range(boxes)
+            [tracked(one.worker.id, stage=Stage.PREFILL) for one in tracked_workers]
+            for _ in range(boxes)
         ]
         ends_at = [[] for _ in before]
         arrivals = []
--- a/tests/systems/test_size_lanes.py
+++ b/tests/systems/test_size_lanes.py
@@ -28,13 +28,13 @@
     for n in range(number):
         worker = Worker(id=f"d{n}", service="llm", host="h", port=n, zone="a", stage=Stage.DECODE)
         table.upsert(worker, 0.0)
-    return list(table.beliefs_by_id.values())
+    return list(table.tracked_by_id.values())
 
 
 def served_shares(rng, rate, *, has_lanes):
     """Shares of large and of all requests that found room."""
-    beliefs = engines()
-    free = {belief.worker.id: KV_TOKENS for belief in beliefs}
+    tracked_workers = engines()
+    free = {tracked.worker.id: KV_TOKENS for tracked in tracked_workers}
     demand = StageDemand()
     ends, waiting = [], []
     counts = {True: [0, 0], False: [0, 0]}
@@ -56,7 +56,7 @@
         for until, tokens in waiting:
             large = is_large(tokens, KV_TOKENS)
             full = {engine for engine, room in free.items() if room < tokens}
-            places = by_lane(beliefs, is_large_request=large, share=share, passed_over=full)
+            places = by_lane(tracked_workers, is_large_request=large, share=share, passed_over=full)
             fits = [b.worker.id for b in places if free[b.worker.id] >= tokens]
             if fits:
                 engine = rng.choice(fits)
@@ -97,33 +97,39 @@
 def test_without_large_requests_there_is_no_lane():
     counts = DemandCounts(asks=50, prompt_tokens=50 * 3000, granted=20)
     assert lane_share(counts, KV_TOKENS) == 0.0
-    beliefs = engines()
-    assert by_lane(beliefs, is_large_request=False, share=0.0, passed_over=()) == beliefs
+    tracked_workers = engines()
+    assert (
+        by_lane(tracked_workers, is_large_request=False, share=0.0, passed_over=())
+        == tracked_workers
+    )
 
 
 def test_all_boxes_keep_the_same_engines_for_the_lane():
-    beliefs = engines()
-    other_order = list(reversed(beliefs))
+    tracked_workers = engines()
+    other_order = list(reversed(tracked_workers))
     lanes = [
         {b.worker.id for b in by_lane(order, is_large_request=True, share=0.25, passed_over=())}
-        for order in (beliefs, other_order)
+        for order in (tracked_workers, other_order)
     ]
     assert lanes[0] == lanes[1]
     assert len(lanes[0]) == 5
-    rest = by_lane(beliefs, is_large_request=False, share=0.25, passed_over=())
+    rest = by_lane(tracked_workers, is_large_request=False, share=0.25, passed_over=())
     assert not lanes[0] & {b.worker.id for b in rest}
 
 
 def test_a_large_request_may_have_the_rest_once_the_lane_is_full():
-    beliefs = engines()
-    lane = by_lane(beliefs, is_large_request=True, share=0.25, passed_over=())
+    tracked_workers = engines()
+    lane = by_lane(tracked_workers, is_large_request=True, share=0.25, passed_over=())
     full = {b.worker.id for b in lane}
-    more = by_lane(beliefs, is_large_request=True, share=0.25, passed_over=full)
+    more = by_lane(tracked_workers, is_large_request=True, share=0.25, passed_over=full)
     assert len(more) == 15
 
 
 @pytest.mark.parametrize("number", [1, 2])
 def test_a_service_too_small_for_a_lane_is_left_whole(number):
-    beliefs = engines(number)
+    tracked_workers = engines(number)
     for large in (True, False):
-        assert len(by_lane(beliefs, is_large_request=large, share=0.2, passed_over=())) == number
+        assert (
+            len(by_lane(tracked_workers, is_large_request=large, share=0.2, passed_over=()))
+            == number
+        )
--- a/tests/systems/test_stage_balance.py
+++ b/tests/systems/test_stage_balance.py
@@ -43,7 +43,7 @@
 BALANCED = demand(prompt=6000, output=400)
 
 
-def beliefs(prefills, decodes, state=WorkerState.READY, zones=("z",)):
+def tracked_workers(prefills, decodes, state=WorkerState.READY, zones=("z",)):
     table = WorkerTable()
     for stage, count in ((Stage.PREFILL, prefills), (Stage.DECODE, decodes)):
         for number in range(count):
@@ -53,7 +53,7 @@
                 id=name, service="s", host="h", port=1, zone=zone, stage=stage, state=state
             )
             table.upsert(entry, 0.0)
-    return list(table.beliefs_by_id.values())
+    return list(table.tracked_by_id.values())
 
 
 def changes(found, counts, *, ordered=None):
@@ -62,75 +62,77 @@
 
 
 def test_nothing_is_ordered_without_need():
-    assert changes(beliefs(2, 3), BALANCED) == []
-    assert changes(beliefs(1, 4), LONG_ANSWERS) == []
+    assert changes(tracked_workers(2, 3), BALANCED) == []
+    assert changes(tracked_workers(1, 4), LONG_ANSWERS) == []
 
 
 def test_nothing_is_ordered_on_little_evidence():
-    assert changes(beliefs(2, 3), demand(prompt=3000, output=600, asks=7)) == []
-    assert changes(beliefs(2, 3), demand(prompt=3000, output=600, ended=2)) == []
-    assert changes(beliefs(2, 3), DemandCounts()) == []
+    assert changes(tracked_workers(2, 3), demand(prompt=3000, output=600, asks=7)) == []
+    assert changes(tracked_workers(2, 3), demand(prompt=3000, output=600, ended=2)) == []
+    assert changes(tracked_workers(2, 3), DemandCounts()) == []
 
 
 def test_long_answers_take_an_idle_prefill_worker():
-    found = beliefs(2, 2)
+    found = tracked_workers(2, 2)
     found[0].tokens_in_flight = 500
     assert changes(found, LONG_ANSWERS) == [("prefill-1", Stage.DECODE)]
 
 
 def test_prefill_workers_that_are_needed_stay():
-    assert changes(beliefs(2, 2), demand(prompt=12_000, output=200)) == []
+    assert changes(tracked_workers(2, 2), demand(prompt=12_000, output=200)) == []
 
 
 def test_long_prompts_take_an_idle_decode_worker():
-    found = beliefs(1, 4)
-    for belief in found[1:4]:
-        belief.tokens_in_flight = 500
+    found = tracked_workers(1, 4)
+    for tracked in found[1:4]:
+        tracked.tokens_in_flight = 500
     assert changes(found, LONG_PROMPTS) == [("decode-3", Stage.PREFILL)]
 
 
 def test_the_last_prefill_worker_of_a_service_stays():
-    assert changes(beliefs(1, 4), demand(prompt=100, output=900)) == []
-    assert changes(beliefs(1, 1), demand(prompt=100, output=900)) == []
+    assert changes(tracked_workers(1, 4), demand(prompt=100, output=900)) == []
+    assert changes(tracked_workers(1, 1), demand(prompt=100, output=900)) == []
 
 
 def test_the_last_decode_worker_of_a_service_stays():
-    assert changes(beliefs(1, 1), LONG_PROMPTS) == []
+    assert changes(tracked_workers(1, 1), LONG_PROMPTS) == []
 
 
 def test_too_many_prefill_workers_are_put_right_without_waiting_for_refusals():
-    assert changes(beliefs(2, 1), LONG_ANSWERS) == [("prefill-0", Stage.DECODE)]
+    assert changes(tracked_workers(2, 1), LONG_ANSWERS) == [("prefill-0", Stage.DECODE)]
 
 
 def test_a_stage_without_workers_gets_one():
-    assert changes(beliefs(1, 0), DemandCounts()) == [("prefill-0", Stage.DECODE)]
-    assert changes(beliefs(0, 3), LONG_PROMPTS) == [("decode-0", Stage.PREFILL)]
-    assert changes(beliefs(0, 1), LONG_PROMPTS) == []
+    assert changes(tracked_workers(1, 0), DemandCounts()) == [("prefill-0", Stage.DECODE)]
+    assert changes(tracked_workers(0, 3), LONG_PROMPTS) == [("decode-0", Stage.PREFILL)]
+    assert changes(tracked_workers(0, 1), LONG_PROMPTS) == []
 
 
 def test_draining_workers_are_given_no_orders():
-    assert changes(beliefs(2, 0, WorkerState.DRAINING), LONG_ANSWERS) == []
+    assert changes(tracked_workers(2, 0, WorkerState.DRAINING), LONG_ANSWERS) == []
 
 
 def test_an_order_on_its_way_counts_as_carried_out():
     ordered = {"prefill-0": Stage.DECODE}
-    assert changes(beliefs(2, 2), LONG_ANSWERS, ordered=ordered) == []
+    assert changes(tracked_workers(2, 2), LONG_ANSWERS, ordered=ordered) == []
 
 
 def test_a_large_fleet_changes_several_at_once_but_half_of_its_prefill_workers_at_most():
-    wanted = changes(beliefs(30, 15), LONG_ANSWERS)
+    wanted = changes(tracked_workers(30, 15), LONG_ANSWERS)
     assert len(wanted) == 15
     assert {stage for _, stage in wanted} == {Stage.DECODE}
 
 
 def test_few_decode_workers_are_taken_from_their_streams_at_once():
-    wanted = changes(beliefs(2, 43), LONG_PROMPTS)
+    wanted = changes(tracked_workers(2, 43), LONG_PROMPTS)
     assert len(wanted) == 4
     assert {stage for _, stage in wanted} == {Stage.PREFILL}
 
 
 def test_halls_without_decode_workers_get_them_first():
-    found = beliefs(3, 0, zones=("a", "b", "c")) + beliefs(0, 3, zones=("a", "a", "b"))
+    found = tracked_workers(3, 0, zones=("a", "b", "c")) + tracked_workers(
+        0, 3, zones=("a", "a", "b")
+    )
     assert changes(found, LONG_ANSWERS)[:1] == [("prefill-2", Stage.DECODE)]
 
 
--- a/tests/systems/test_stage_headroom.py
+++ b/tests/systems/test_stage_headroom.py
@@ -57,20 +57,20 @@
         worker = Worker(id=name, service="s", host="h", port=1, zone=zone, stage=stage, state=state)
         self.table.upsert(worker, 0.0)
 
-    def beliefs(self, *, without=()):
-        return [b for b in self.table.beliefs_by_id.values() if b.worker.id not in without]
+    def tracked_workers(self, *, without=()):
+        return [b for b in self.table.tracked_by_id.values() if b.worker.id not in without]
 
     def speed(self, stage, *, without=()):
         """The summed speed of a stage, changes ordered not counted."""
         return sum(
-            1.0 / self.paces.factor_by_id[belief.worker.id]
-            for belief in self.beliefs(without=without)
-            if belief.worker.stage is stage
+            1.0 / self.paces.factor_by_id[tracked.worker.id]
+            for tracked in self.tracked_workers(without=without)
+            if tracked.worker.stage is stage
         )
 
     def wanted(self, counts, *, now=0.0, without=(), scale=1.0, pace=PACE):
         return self.headroom.wanted(
-            self.beliefs(without=without),
+            self.tracked_workers(without=without),
             counts,
             scale=scale,
             pace=pace,
@@ -234,7 +234,7 @@
     chosen = [change.worker.id for change in service.wanted(demand(80.0))]
     service.ordered = {chosen[0]: Stage.DECODE}
     service.put(chosen[1], Stage.DECODE, state=WorkerState.DRAINING)
-    service.table.beliefs_by_id[chosen[2]].gone_at = 0.0
+    service.table.tracked_by_id[chosen[2]].gone_at = 0.0
     changes = service.wanted(demand(80.0))
     assert changes and not set(chosen[:3]) & {change.worker.id for change in changes}
 
@@ -358,9 +358,9 @@
                 service.put(worker_id, service.ordered.pop(worker_id))
                 del done_at_by_id[worker_id]
             decodes = [
-                belief.worker.id
-                for belief in service.beliefs(without=without)
-                if belief.worker.stage is Stage.DECODE
+                tracked.worker.id
+                for tracked in service.tracked_workers(without=without)
+                if tracked.worker.stage is Stage.DECODE
             ]
             speed = sum(1.0 / service.paces.factor_by_id[worker_id] for worker_id in decodes)
             mean_speed = speed / len(decodes) if decodes else 1.0
--- a/tests/systems/test_worker_choice.py
+++ b/tests/systems/test_worker_choice.py
@@ -111,8 +111,8 @@
         )
         return found[0].worker.id
 
-    preferred = {belief.worker.id for belief in by_affinity(usable, "91bd")[:SAMPLE]}
+    preferred = {tracked.worker.id for tracked in by_affinity(usable, "91bd")[:SAMPLE]}
     found = {choice(seed) for seed in range(60)}
     assert found <= preferred and len(found) > SAMPLE // 2
-    others = {belief.worker.id for belief in by_affinity(usable, "5c1e")[:SAMPLE]}
+    others = {tracked.worker.id for tracked in by_affinity(usable, "5c1e")[:SAMPLE]}
     assert others != preferred
--- a/tests/systems/test_worker_table.py
+++ b/tests/systems/test_worker_table.py
@@ -1,7 +1,7 @@
 import pytest
 
 from croftchute.storage.watched import StoredItem
-from croftchute.systems.worker_belief import GONE_GRACE_S
+from croftchute.systems.tracked_worker import GONE_GRACE_S
 from croftchute.systems.worker_table import LAPSED_GRACE_S, WorkerTable
 from croftchute.tables.routing import Stage, Worker, WorkerState
 
@@ -16,8 +16,8 @@
     return StoredItem(key="k", value=b"", revision=revision)
 
 
-def ids(beliefs):
-    return sorted(belief.worker.id for belief in beliefs)
+def ids(tracked_workers):
+    return sorted(tracked.worker.id for tracked in tracked_workers)
 
 
 def test_a_draining_worker_gets_no_new_work_at_once():
@@ -97,21 +97,21 @@
 def test_failures_fade_and_an_answer_halves_them():
     table = WorkerTable()
     table.upsert(worker("a"), 0.0)
-    belief = table.beliefs_by_id["a"]
+    tracked = table.tracked_by_id["a"]
     table.note_failure("a", 2.0, 0.0)
-    assert belief.failure_score(2.0) == 1.0
+    assert tracked.failure_score(2.0) == 1.0
     table.note_answer("a", 0.1, 2.0)
-    assert belief.failure_score(2.0) == 0.5
+    assert tracked.failure_score(2.0) == 0.5
 
 
 def test_load_told_by_a_worker_counts_others_only_and_not_for_long():
     table = WorkerTable()
     table.upsert(worker("a"), 0.0)
-    belief = table.beliefs_by_id["a"]
+    tracked = table.tracked_by_id["a"]
     table.note_sent("a", 0)
     table.note_load("a", 3, 1, 0.0)
-    assert belief.others_running(0.1) == 3.0
-    assert belief.others_running(5.0) == 0.0
+    assert tracked.others_running(0.1) == 3.0
+    assert tracked.others_running(5.0) == 0.0
 
 
 def listed(*names, service="s"):
@@ -213,7 +213,7 @@
     table.upsert(worker("a"), 0.0)
     table.note_pause("unknown", 1.0)
     table.note_pause("a", 0.1)
-    assert table.beliefs_by_id["a"].pause_s == pytest.approx(0.1)
+    assert table.tracked_by_id["a"].pause_s == pytest.approx(0.1)
     for _ in range(40):
         table.note_pause("a", 0.8)
-    assert table.beliefs_by_id["a"].pause_s == pytest.approx(0.8, rel=0.05)
+    assert table.tracked_by_id["a"].pause_s == pytest.approx(0.8, rel=0.05)
--- a/tests/systems/test_worker_wishes.py
+++ b/tests/systems/test_worker_wishes.py
@@ -1,7 +1,7 @@
 """What workers asked for: kept by life, bounded, and never taken back by older news."""
 
 from croftchute.storage.watched import StoredItem
-from croftchute.systems.worker_belief import GONE_GRACE_S
+from croftchute.systems.tracked_worker import GONE_GRACE_S
 from croftchute.systems.worker_table import WorkerTable
 from croftchute.systems.worker_wishes import LAST_RESORTS, LEAVING_KEPT_S, MAX_KEPT, WorkerWishes
 from croftchute.tables.routing import Stage, Worker, WorkerState
@@ -33,7 +33,7 @@
 
 
 def usable(table, now, **options):
-    return sorted(belief.worker.id for belief in table.usable("s", now, **options))
+    return sorted(tracked.worker.id for tracked in table.usable("s", now, **options))
 
 
 def test_a_worker_that_leaves_is_used_only_while_no_other_is_left_and_not_for_long():
@@ -65,7 +65,7 @@
     table.wishes.note_leaving("a", 1.0)
     table.remove(["a"], 2.0)
     table.sweep(20.0)
-    assert "a" not in table.beliefs_by_id
+    assert "a" not in table.tracked_by_id
     table.upsert(worker("a"), 30.0)
     assert usable(table, 30.0) == ["b"]
 
