--- a/src/croftchute/bench/limit_world.py
+++ b/src/croftchute/bench/limit_world.py
@@ -34,7 +34,7 @@
 
 def crew_limit(rate: float = 100_000.0, burst: float = 100_000.0) -> UsageLimit:
     """The limit of one organisation, in tokens."""
-    return UsageLimit(rate_per_s=rate, burst=burst, unit=LimitUnit.TOKENS, plain_tokens=200)
+    return UsageLimit(rate_per_s=rate, burst=burst, unit=LimitUnit.TOKENS, default_tokens=200)
 
 
 @dataclass
@@ -154,7 +154,7 @@
             return
         seen = [other for other in self.live() if not self.apart(box_id, other)]
         share = self.size.share(len(seen) if self.counts_by_sight else self.boxes)
-        lease = box.share.asked(seen, share, box.clock(self.now))
+        lease = box.share.renew_lease(seen, share, box.clock(self.now))
         asked_at = self.now
         state = {"done": False}
         if units:
@@ -167,7 +167,7 @@
                 box_id, lease.share, echo=lease.echo, now=at, is_first=lease.is_first
             )
             want = UsageWant(name=CREW, units=units)
-            grant = pool_box.pool.give(want, self.known, at) if units else None
+            grant = pool_box.pool.grant(want, self.known, at) if units else None
             if lease.pool == box_id:
                 at_box(at, grant)
             else:
@@ -176,7 +176,7 @@
         def at_box(stamp: float, grant: UsageGrant | None) -> None:
             if self.by_id[box_id] is not box:
                 return
-            box.share.answered(lease.pool, stamp, box.clock(self.now))
+            box.share.note_reply(lease.pool, stamp, box.clock(self.now))
             is_late = self.now - asked_at > LATE_S
             if units and not state["done"] and not is_late:
                 state["done"] = True
@@ -189,7 +189,7 @@
         def overdue() -> None:
             if not state["done"] and self.by_id[box_id] is box:
                 if box.paused_until <= self.now:
-                    box.share.unanswered(lease.pool, box.clock(self.now))
+                    box.share.note_timeout(lease.pool, box.clock(self.now))
                 if units:
                     self.unanswered += 1
 
--- a/src/croftchute/daemon/router_process.py
+++ b/src/croftchute/daemon/router_process.py
@@ -8,7 +8,7 @@
 from http import HTTPStatus
 from pathlib import Path
 
-from croftchute.daemon.router_state import lapsed_grace_s, limit_terms, retry_limits
+from croftchute.daemon.router_state import limit_terms, mass_expiry_grace_s, retry_limits
 from croftchute.errors import DocumentError
 from croftchute.forwarding.boxes.crash_gossip import CrashGossip
 from croftchute.forwarding.boxes.limits import FixedShares, UsageLimits
@@ -38,7 +38,7 @@
 from croftchute.storage.watched import SharedStore, Vocabulary
 from croftchute.systems.fleet_size import FleetSize
 from croftchute.systems.lent_share import WORKERS_GROUP
-from croftchute.tables.organisations import LimitWay
+from croftchute.tables.organisations import LimitMode
 from croftchute.tables.routing import IngressLimits
 
 FLUSH_S = 0.5
@@ -148,7 +148,7 @@
     def _make_usage_limits(self) -> UsageLimits:
         """The way in which limits of organisations are kept here, as the settings name it."""
         terms = limit_terms(self.settings)
-        if self.settings.ways.limits is LimitWay.FIXED:
+        if self.settings.ways.limits is LimitMode.FIXED:
             return FixedShares(state=self.state, terms=terms, size=self.fleet_size)
         return PooledLimits(rates=self.shared_rates, group=self.shared_rates.groups[0])
 
@@ -296,7 +296,7 @@
         self.state.default_boxes = settings.boxes
         self.state.conditions = settings.conditions
         self.held.set_memory(settings.held_memory_mb)
-        self.state.workers.lapsed_grace_s = lapsed_grace_s(settings)
+        self.state.workers.mass_expiry_grace_s = mass_expiry_grace_s(settings)
         self.state.log.decide(
             Decision.RELOADED, outcome="in force", cause=cause, needs_restart=needs_restart
         )
--- a/src/croftchute/daemon/router_state.py
+++ b/src/croftchute/daemon/router_state.py
@@ -13,7 +13,7 @@
 from croftchute.systems.peer_table import PeerTable
 from croftchute.systems.retry_budget import RetryLimits
 from croftchute.systems.usage_bucket import LimitTerms
-from croftchute.systems.worker_table import LAPSED_GRACE_S, WorkerTable
+from croftchute.systems.worker_table import MASS_EXPIRY_GRACE_S, WorkerTable
 
 STDOUT = 1
 
@@ -49,13 +49,13 @@
         conditions=settings.conditions,
         started_at=clock(),
         begun_at=clock() if begun_at is None else begun_at,
-        workers=WorkerTable(lapsed_grace_s=lapsed_grace_s(settings)),
+        workers=WorkerTable(mass_expiry_grace_s=mass_expiry_grace_s(settings)),
     )
 
 
-def lapsed_grace_s(settings: RouterSettings) -> float:
+def mass_expiry_grace_s(settings: RouterSettings) -> float:
     """How long workers whose entries lapsed are used: well within the time that bars new work."""
-    return min(LAPSED_GRACE_S, LAPSED_SHARE_OF_DRAIN * settings.drain_s)
+    return min(MASS_EXPIRY_GRACE_S, LAPSED_SHARE_OF_DRAIN * settings.drain_s)
 
 
 def peer_table(settings: RouterSettings) -> PeerTable:
--- a/src/croftchute/forwarding/boxes/crash_gossip.py
+++ b/src/croftchute/forwarding/boxes/crash_gossip.py
@@ -40,7 +40,7 @@
 
     def hear(self, sender: str, news: CrashNews) -> None:
         """Take in what a box tells, and tell on what has a request refused here."""
-        refused = self.state.crashes.take(news.notices, self.state.clock())
+        refused = self.state.crashes.merge(news.notices, self.state.clock())
         if refused:
             self.log_refused(refused, source=sender)
             self.tell(refused)
@@ -58,6 +58,6 @@
                 outcome="refused",
                 digest=digest,
                 source=source,
-                lives_ended=self.state.crashes.lives_ended(digest),
-                refused_s=round(self.state.crashes.refused_s(digest, self.state.clock()), 1),
+                lives_ended=self.state.crashes.crash_count(digest),
+                refused_s=round(self.state.crashes.refusal_left_s(digest, self.state.clock()), 1),
             )
--- a/src/croftchute/forwarding/boxes/peer_exchange.py
+++ b/src/croftchute/forwarding/boxes/peer_exchange.py
@@ -238,12 +238,12 @@
     def _leaving_workers(self) -> tuple[str, ...]:
         """The workers that leave and are known here still, those last that said so last."""
         tracked_by_id = self.state.workers.tracked_by_id
-        leaving = self.state.workers.wishes.leaving_by_id
+        leaving = self.state.workers.advice.leaving_by_id
         return tuple(worker for worker in leaving if worker in tracked_by_id)[-MAX_LEAVING_TOLD:]
 
     def _hear(self, sender: str, notice: BoxNotice) -> None:
         now = self.state.clock()
-        if self.state.peers.hear(sender, notice, now):
+        if self.state.peers.apply_notice(sender, notice, now):
             self.state.log.decide(
                 Decision.PEER_LISTED,
                 peer=sender,
--- a/src/croftchute/forwarding/boxes/shared_rates.py
+++ b/src/croftchute/forwarding/boxes/shared_rates.py
@@ -17,11 +17,11 @@
 from croftchute.forwarding.decision_log import Decision
 from croftchute.forwarding.state import ForwardingState
 from croftchute.peers.messages import AllowanceAsk, AllowanceReply, Body
-from croftchute.systems.allowance_pool import LEASE_S, AllowancePool, Limited
+from croftchute.systems.allowance_pool import LEASE_S, AllowancePool, HasLimit
 from croftchute.systems.fleet_size import FleetSize
 from croftchute.systems.lent_share import LentShare
+from croftchute.systems.prefetched_usage import PrefetchedUsage
 from croftchute.systems.usage_bucket import LimitTerms
-from croftchute.systems.usage_purse import UsagePurse
 from croftchute.tables.allowances import UsageGrant, UsageReturn, UsageWant
 
 ASK_INTERVAL_S = 0.33
@@ -104,7 +104,7 @@
         """Whether there is such a limit at the moment; leases are kept up only then."""
         ...
 
-    def known(self) -> Mapping[str, Limited]:
+    def known(self) -> Mapping[str, HasLimit]:
         """What is limited, by name."""
         ...
 
@@ -126,13 +126,13 @@
         self.asked_at = -math.inf
         self.begun_at = -math.inf
         self.returns: list[UsageReturn] = []
-        self.purses_by_name: dict[str, UsagePurse] = {}
+        self.prefetched_by_name: dict[str, PrefetchedUsage] = {}
         self.denials_by_name: dict[str, _Denial] = {}
 
     @property
-    def settles_at(self) -> float:
+    def converges_at(self) -> float:
         """When shares will have come together."""
-        return max(self.share.settles_at, self.begun_at + NEW_LIMIT_S)
+        return max(self.share.converges_at, self.begun_at + NEW_LIMIT_S)
 
     def note_asked(self, now: float) -> None:
         """The pool is asked."""
@@ -143,8 +143,10 @@
     def sweep(self, now: float) -> None:
         """Forget what is not used any more."""
         self.pool.sweep(self.source.known(), now)
-        for name in [n for n, purse in self.purses_by_name.items() if purse.is_idle(now)]:
-            del self.purses_by_name[name]
+        for name in [
+            n for n, prefetched in self.prefetched_by_name.items() if prefetched.is_idle(now)
+        ]:
+            del self.prefetched_by_name[name]
         for name in [n for n, denial in self.denials_by_name.items() if denial.until <= now]:
             del self.denials_by_name[name]
 
@@ -176,21 +178,21 @@
     async def take(self, group: RateGroup, want: UsageWant, *, patience_s: float) -> Allowance:
         """Take what is wanted, or say when to come back."""
         now = self.state.clock()
-        purse = group.purses_by_name.setdefault(want.name, UsagePurse())
-        purse.note_use(want.units, now)
-        taken = purse.take(want.units, now)
+        prefetched = group.prefetched_by_name.setdefault(want.name, PrefetchedUsage())
+        prefetched.note_use(want.units, now)
+        taken = prefetched.take(want.units, now)
         missing = want.units - sum(lot.units for lot in taken)
         if missing <= 0.0:
             return GRANTED
         denial = group.denials_by_name.get(want.name)
         if denial is not None and now < denial.until and missing >= denial.units:
-            purse.restore(taken)
+            prefetched.restore(taken)
             return self._denied(denial, now)
         allowance = await self._ask_until_answered(
             group, replace(want, units=missing), patience_s=patience_s
         )
         if not allowance.is_granted:
-            purse.restore(taken)
+            prefetched.restore(taken)
         return allowance
 
     def give_back(self, group: RateGroup, name: str, units: float) -> None:
@@ -210,7 +212,7 @@
             if grant is None:
                 continue
             if grant.units >= want.units:
-                group.purses_by_name[want.name].put(grant.units - want.units, now)
+                group.prefetched_by_name[want.name].put(grant.units - want.units, now)
                 return GRANTED
             if answer.live_share < SETTLED_SHARE and not was_held:
                 was_held = await self._hold(group, begun_at, patience_s)
@@ -230,7 +232,7 @@
         Each request is held once: asking again and again, all that wait would overload the pool.
         """
         now = self.state.clock()
-        ends_at = group.settles_at + SETTLE_SPREAD_S * self.state.rng.random()
+        ends_at = group.converges_at + SETTLE_SPREAD_S * self.state.rng.random()
         longest_s = min(MAX_HELD_S, HELD_SHARE_OF_TIME * patience_s)
         if not now < ends_at <= begun_at + longest_s:
             return False
@@ -241,7 +243,9 @@
         """The pool that was asked, and what it answered in time."""
         ahead = 0.0
         if group.source.asks_ahead:
-            ahead = group.purses_by_name[want.name].wanted_ahead(want.units, self.state.clock())
+            ahead = group.prefetched_by_name[want.name].units_to_prefetch(
+                want.units, self.state.clock()
+            )
         number = self._next_number()
         answer = asyncio.get_running_loop().create_future()
         self._answers_by_number[number] = answer
@@ -251,7 +255,7 @@
                 reply = await answer
                 return _PoolAnswer(pool=pool, grant=reply.grants[0], live_share=reply.live_share)
         except TimeoutError:
-            if group.share.unanswered(pool, self.state.clock()):
+            if group.share.note_timeout(pool, self.state.clock()):
                 self.state.log.decide(
                     Decision.LIMIT_POOL_SILENT, pool=pool, group=group.share.group
                 )
@@ -288,7 +292,7 @@
         now = self.state.clock()
         group.note_asked(now)
         share = self.size.share(self.state.peers.known_boxes)
-        lease = group.share.asked(self._candidates(now), share, now)
+        lease = group.share.renew_lease(self._candidates(now), share, now)
         returns, group.returns = tuple(group.returns), []
         ask = AllowanceAsk(
             number=number,
@@ -323,7 +327,7 @@
         if not 0 <= reply.group < len(self.groups):
             return
         group = self.groups[reply.group]
-        group.share.answered(sender, reply.stamp, self.state.clock())
+        group.share.note_reply(sender, reply.stamp, self.state.clock())
         if sender != self.state.box:
             self.size.note_told(reply.boxes)
         answer = self._answers_by_number.pop(reply.number, None)
@@ -338,14 +342,14 @@
         pool = self.groups[ask.group].pool
         pool.lend(sender, ask.share, echo=ask.echo, now=now, is_first=ask.is_first)
         for returned in ask.returns:
-            pool.take_back(returned)
+            pool.return_units(returned)
         known = source.known()
         return AllowanceReply(
             number=ask.number,
             group=ask.group,
             stamp=now,
             boxes=self.size.boxes(self.state.peers.known_boxes) if self.size.is_known else 0,
-            grants=tuple(pool.give(want, known, now) for want in ask.wants),
+            grants=tuple(pool.grant(want, known, now) for want in ask.wants),
             live_share=pool.live_share(now),
         )
 
@@ -392,7 +396,7 @@
     def _renew(self, group: RateGroup, now: float) -> None:
         if now - group.asked_at >= ASK_INTERVAL_S / 2 or not group.share.is_lent(now):
             self._ask(group, self._next_number(), ())
-            group.share.unanswered(group.share.pool, now)
+            group.share.note_timeout(group.share.pool, now)
         group.sweep(now)
 
     def _next_number(self) -> int:
--- a/src/croftchute/forwarding/boxes/worker_permits.py
+++ b/src/croftchute/forwarding/boxes/worker_permits.py
@@ -11,7 +11,7 @@
 from croftchute.forwarding.permits import ONE_CALL, PermitWish
 from croftchute.forwarding.state import ForwardingState
 from croftchute.systems.usage_bucket import LimitTerms
-from croftchute.systems.worker_limits import NamedLimit
+from croftchute.systems.worker_limits import ReportedLimit
 from croftchute.tables.allowances import UsageWant
 from croftchute.tables.organisations import UsageLimit
 from croftchute.tables.routing import Worker
@@ -70,7 +70,7 @@
         """The asking box may have heard of a limit, or of its change, before this one."""
         now = self.state.clock()
         limits = self.state.workers.limits
-        limits.note_named(want.name, want.rate_per_s, now, known_for_s=want.known_for_s)
+        limits.note_limit(want.name, want.rate_per_s, now, known_for_s=want.known_for_s)
 
 
 def usage_limit(per_s: float) -> UsageLimit:
@@ -97,13 +97,13 @@
         named = limits.by_id.get(worker.id)
         if named is None or named.is_over(now):
             return True
-        if now < named.closed_until:
+        if now < named.blocked_until:
             return False
         want = UsageWant(
             name=worker.id,
             units=float(wish.calls),
             rate_per_s=named.per_s,
-            known_for_s=now - named.named_at,
+            known_for_s=now - named.reported_at,
             kept_back=min(MOST_KEPT_BACK, KEPT_BACK_A_RANK * wish.rank),
         )
         allowance = await self.rates.take(self.group, want, patience_s=wish.patience_s)
@@ -118,7 +118,7 @@
             self.rates.give_back(self.group, worker.id, float(calls))
 
     def _close(
-        self, named: NamedLimit, worker: Worker, allowance: Allowance, wish: PermitWish
+        self, named: ReportedLimit, worker: Worker, allowance: Allowance, wish: PermitWish
     ) -> None:
         """Pass the worker over until it takes calls again.
 
@@ -126,7 +126,7 @@
         """
         now = self.state.clock()
         wait_s = max(MIN_CLOSED_S, allowance.wait_s or UNKNOWN_CLOSED_S)
-        named.closed_until = now + wait_s
+        named.blocked_until = now + wait_s
         self.state.metrics.permits.inc({"outcome": allowance.outcome.value})
         self.state.log.decide(
             Decision.PERMIT_DENIED,
@@ -136,7 +136,7 @@
             calls=wish.calls,
             rank=wish.rank,
             limit_per_s=named.per_s,
-            limit_age_s=round(now - named.named_at, 2),
+            limit_age_s=round(now - named.reported_at, 2),
             pool=allowance.pool,
             live_share=round(allowance.live_share, 3),
             own_share=round(self.rates.size.share(self.state.peers.known_boxes), 4),
--- a/src/croftchute/forwarding/callers/forwarder.py
+++ b/src/croftchute/forwarding/callers/forwarder.py
@@ -128,7 +128,7 @@
         if organisation is None or organisation.limit is None:
             await self._run(run)
             return
-        units = organisation.limit.cost(run.facts.named_tokens)
+        units = organisation.limit.cost(run.facts.declared_tokens)
         allowance = await self.usage_limits.admit(organisation, units, patience_s=run.time_left_s)
         if not allowance.is_granted:
             self._refuse_over_limit(run, allowance, units)
--- a/src/croftchute/forwarding/dialect.py
+++ b/src/croftchute/forwarding/dialect.py
@@ -9,7 +9,7 @@
 from croftchute.errors import Code, Ran
 from croftchute.forwarding.http.exchange import IncomingRequest
 from croftchute.forwarding.http.http_client import ResponseHead
-from croftchute.systems.worker_wishes import WorkerWish
+from croftchute.systems.worker_advice import WorkerAdvice
 from croftchute.tables.routing import HeaderList, RequestFacts, Stage, Worker
 
 
@@ -123,7 +123,7 @@
         """The load told in an answer's head, if any."""
         ...
 
-    def wish(self, head: ResponseHead) -> WorkerWish:
+    def wish(self, head: ResponseHead) -> WorkerAdvice:
         """What an answer's head says that its worker wants, whatever was asked of it."""
         ...
 
--- a/src/croftchute/forwarding/state.py
+++ b/src/croftchute/forwarding/state.py
@@ -381,7 +381,7 @@
     def _renew_ranks(self, table: RoutingTable) -> None:
         if self._ranks_of is not table:
             self._ranks_of = table
-            self._most_urgent_by_service = table.most_urgent_by_service()
+            self._most_urgent_by_service = table.top_priority_by_service()
             self._request_ranks_by_service = {}
 
     def limits(self) -> IngressLimits:
--- a/src/croftchute/forwarding/store/crash_register.py
+++ b/src/croftchute/forwarding/store/crash_register.py
@@ -17,7 +17,7 @@
 from croftchute.forwarding.state import ForwardingState
 from croftchute.storage.position import told
 from croftchute.storage.watched import SharedStore, StoredItem
-from croftchute.systems.crash_records import MAX_REFUSED_S, REFUSED_S
+from croftchute.systems.crash_records import BASE_REFUSAL_S, MAX_REFUSAL_S
 from croftchute.tables.crashes import CrashEntry, CrashNotice
 
 PREFIX = "croftchute/crashes/"
@@ -55,7 +55,9 @@
         """The store came back from an older copy: what is refused here is to stand there again."""
         now = self.state.clock()
         crashes = self.state.crashes
-        self.note([digest for digest in crashes.by_digest if crashes.refused_s(digest, now) > 0.0])
+        self.note(
+            [digest for digest in crashes.by_digest if crashes.refusal_left_s(digest, now) > 0.0]
+        )
 
     async def run(self) -> None:
         """Look after the entries; never returns."""
@@ -86,14 +88,14 @@
         item = await self.store.item(key)
         stored = self._take(item) if item is not None else {}
         record = self.state.crashes.by_digest.get(digest)
-        if record is None or self.state.crashes.refused_s(digest, self.state.clock()) <= 0.0:
+        if record is None or self.state.crashes.refusal_left_s(digest, self.state.clock()) <= 0.0:
             return
         if record.ended_at_by_life.keys() <= stored.keys():
             return
         lag_s = self.state.wall_clock() - self.state.clock()
         known = {life: at + lag_s for life, at in record.ended_at_by_life.items()}
         value = msgspec.json.encode(CrashEntry(ended_at_by_life=known | stored))
-        lease = await self.store.grant_lease(REFUSED_S)
+        lease = await self.store.grant_lease(BASE_REFUSAL_S)
         revision = item.revision if item is not None else 0
         if await self.store.put_if(key, value, revision=revision, lease=lease):
             self._log("written", digest)
@@ -110,10 +112,10 @@
             return {}
         wall_now = self.state.wall_clock()
         notices = [
-            CrashNotice(digest=digest, life=life, age_s=min(max(0.0, wall_now - at), MAX_REFUSED_S))
+            CrashNotice(digest=digest, life=life, age_s=min(max(0.0, wall_now - at), MAX_REFUSAL_S))
             for life, at in stored.items()
         ]
-        refused = self.state.crashes.take(notices, self.state.clock())
+        refused = self.state.crashes.merge(notices, self.state.clock())
         self.gossip.log_refused(refused, source=STORE)
         return stored
 
--- a/src/croftchute/forwarding/store/fleet_record.py
+++ b/src/croftchute/forwarding/store/fleet_record.py
@@ -150,7 +150,7 @@
         self.size.recorded = entry.boxes
         self.size.pool = entry.pool
         if entry.pool:
-            self.state.peers.note_named(entry.pool, entry.host, entry.port)
+            self.state.peers.note_address(entry.pool, entry.host, entry.port)
 
     def _wanted_count(self) -> int | None:
         return self.size.to_record(self.state.peers.known_boxes, self.state.clock())
--- a/src/croftchute/forwarding/store/prefix_follower.py
+++ b/src/croftchute/forwarding/store/prefix_follower.py
@@ -144,7 +144,7 @@
         if self._after is None:
             return None
         now = self.state.clock()
-        return self.relays.to_follow(self.state.peers.hall_mates(self.relays.hall, now), now)
+        return self.relays.relay_to_ask(self.state.peers.hall_peers(self.relays.hall, now), now)
 
     async def _read_store(self) -> None:
         self._note_source("", outcome="reads the store")
@@ -235,7 +235,7 @@
             # A relay that began later than this box does not know so far back: others, or the
             # store, still do, and a whole listing is not needed.
             has_lost_store = isinstance(error, NotARelayError)
-            self.relays.pass_over(relay.id, self.state.clock(), has_lost_store=has_lost_store)
+            self.relays.skip_relay(relay.id, self.state.clock(), has_lost_store=has_lost_store)
             self._note_source("", outcome=error.code.value, detail=error.message)
             return
         try:
--- a/src/croftchute/forwarding/store/store_follower.py
+++ b/src/croftchute/forwarding/store/store_follower.py
@@ -85,8 +85,8 @@
     def is_relay(self) -> bool:
         """Whether this box reads the store itself, for others or for want of a relay."""
         now = self.state.clock()
-        mates = self.state.peers.hall_mates(self.state.zone, now)
-        return self.relays.to_follow(mates, now) is None
+        hall_peers = self.state.peers.hall_peers(self.state.zone, now)
+        return self.relays.relay_to_ask(hall_peers, now) is None
 
     # What other boxes ask.
 
@@ -179,7 +179,7 @@
         names = {self.vocabulary.worker_name(item.key) for item in listing.items}
         for item in listing.items:
             self._take_worker(item)
-        gone = workers.keep_only(names, now, is_lapse=is_restored)
+        gone = workers.keep_only(names, now, is_mass_expiry=is_restored)
         self._log_gone(gone, revision=listing.revision, source=source)
         newest = listing.newest if source == "store" else listing.revision
         # A list that names nobody is of its era all the same.
@@ -197,7 +197,7 @@
         for worker_id in worker_ids:
             self.state.log.decide(
                 Decision.WORKER_GONE,
-                outcome="lapsed" if self.state.workers.has_lapsed(worker_id) else "removed",
+                outcome="lapsed" if self.state.workers.is_mass_expired(worker_id) else "removed",
                 worker=worker_id,
                 revision=told(revision),
                 source=source,
--- a/src/croftchute/forwarding/workers/crash_watch.py
+++ b/src/croftchute/forwarding/workers/crash_watch.py
@@ -29,16 +29,16 @@
     Workers that were leaving end as planned, whatever they run.
     """
     tracked = state.workers.tracked_by_id.get(worker.id)
-    if tracked is None or state.workers.wishes.is_leaving(worker.id):
+    if tracked is None or state.workers.advice.is_leaving(worker.id):
         return
     now = state.clock()
     if tracked.has_ended:
-        state.crashes.note_doubt(digest, worker.id, now)
+        state.crashes.note_suspected_crash(digest, worker.id, now)
         _settle(state, worker, RESTARTED, broke_at=now)
         return
     if tracked.gone_at is not None:
         return
-    state.crashes.note_doubt(digest, worker.id, now)
+    state.crashes.note_suspected_crash(digest, worker.id, now)
     if worker.id not in state.lives_looked_at:
         state.lives_looked_at.add(worker.id)
         state.spawn(_look(state, worker))
@@ -70,7 +70,7 @@
 
 def _settle(state: ForwardingState, worker: Worker, outcome: str, *, broke_at: float) -> None:
     has_ended = outcome in (ENDED, RESTARTED)
-    digests = state.crashes.settle(worker.id, ended_at=broke_at if has_ended else None)
+    digests = state.crashes.resolve_suspicion(worker.id, ended_at=broke_at if has_ended else None)
     state.log.decide(
         Decision.WORKER_LOOKED_AT,
         outcome=outcome,
--- a/src/croftchute/forwarding/workers/decode_room.py
+++ b/src/croftchute/forwarding/workers/decode_room.py
@@ -22,7 +22,7 @@
 from croftchute.systems.patience import ReturnWay
 from croftchute.systems.room_forecast import RoomWait
 from croftchute.systems.tracked_worker import TrackedWorker
-from croftchute.systems.worker_choice import ChoiceInput
+from croftchute.systems.worker_choice import ChoiceRecord
 from croftchute.tables.routing import EngineTraits, Stage, Worker
 
 HOLD_AND_REQUEST = 2
@@ -46,7 +46,7 @@
         self._permit_at: Worker | None = None
         self._use = RequestUse(run=run)
 
-    async def reserve(self) -> tuple[TrackedWorker, ChoiceInput] | None:
+    async def reserve(self) -> tuple[TrackedWorker, ChoiceRecord] | None:
         """A decode worker that keeps room for the request, waiting for a while if all are full."""
         run = self.run
         self.code = None
@@ -103,7 +103,7 @@
 
     def _rests_end_soon(self) -> bool:
         """Whether a decode worker takes work again while the caller of a begun stream waits."""
-        return 0.0 < self.run.rest_left_s <= patience.RESUME_WAIT_S
+        return 0.0 < self.run.backoff_left_s <= patience.RESUME_WAIT_S
 
     def _may_wait(self, asked_at: float, *, is_begun: bool) -> bool:
         """Whether to go on waiting for room: it will likely come while the caller wants it."""
@@ -132,7 +132,7 @@
         )
         return False
 
-    async def _ask_for_room(self) -> tuple[TrackedWorker, ChoiceInput] | None:
+    async def _ask_for_room(self) -> tuple[TrackedWorker, ChoiceRecord] | None:
         """Ask the decode workers, the cheapest first; None if none has room."""
         run = self.run
         engine = run.engine
@@ -156,7 +156,7 @@
 
     async def _room_in_place(
         self, engine: EngineTraits
-    ) -> tuple[TrackedWorker, ChoiceInput] | None:
+    ) -> tuple[TrackedWorker, ChoiceRecord] | None:
         """Room at the worker that may still keep the request's cache."""
         same = self._same_worker()
         if same is None or not await self._hold_if_permitted(*same, engine):
@@ -164,7 +164,7 @@
         return same
 
     async def _hold_if_permitted(
-        self, tracked: TrackedWorker, chosen: ChoiceInput, engine: EngineTraits
+        self, tracked: TrackedWorker, chosen: ChoiceRecord, engine: EngineTraits
     ) -> bool:
         """Ask a worker for room if it takes that call, and the request behind it."""
         if not await self.run.take_permit(tracked, calls=HOLD_AND_REQUEST):
@@ -175,7 +175,7 @@
             self._give_permit_back()
         return is_held
 
-    def _same_worker(self) -> tuple[TrackedWorker, ChoiceInput] | None:
+    def _same_worker(self) -> tuple[TrackedWorker, ChoiceRecord] | None:
         """The worker that the stream ran at: if it lives, it still keeps the prompt's cache."""
         worker_id, self.kept_at = self.kept_at, None
         if worker_id is None or self._resumed_in_place:
@@ -185,11 +185,11 @@
         usable = run.state.workers.usable(run.service, run.now, stage=Stage.DECODE)
         for tracked in usable:
             if tracked.worker.id == worker_id:
-                return tracked, run.describe(tracked, candidates=1)
+                return tracked, run.describe_choice(tracked, candidates=1)
         return None
 
     async def _hold_at(
-        self, tracked: TrackedWorker, chosen: ChoiceInput, engine: EngineTraits
+        self, tracked: TrackedWorker, chosen: ChoiceRecord, engine: EngineTraits
     ) -> bool:
         run = self.run
         facts = run.facts
--- a/src/croftchute/forwarding/workers/end_choice.py
+++ b/src/croftchute/forwarding/workers/end_choice.py
@@ -17,11 +17,11 @@
 from croftchute.systems.service_capacity import OWN_READING_PACE
 from croftchute.systems.tracked_worker import TrackedWorker
 from croftchute.systems.worker_choice import (
-    SAMPLE,
-    ChoiceInput,
-    Surroundings,
-    by_affinity,
-    describe,
+    MAX_CANDIDATES,
+    ChoiceContext,
+    ChoiceRecord,
+    describe_choice,
+    rank_by_affinity,
 )
 from croftchute.tables.paces import PaceEstimate, PredictedEnd, WorkKind
 from croftchute.tables.routing import RequestFacts, Route, Stage
@@ -53,7 +53,7 @@
 
     request: PlacedRequest
     stage: Stage | None
-    around: Surroundings
+    context: ChoiceContext
     avoid: Collection[str]
 
     @property
@@ -68,7 +68,7 @@
 
     def choose(
         self, candidates: Sequence[TrackedWorker]
-    ) -> tuple[TrackedWorker, ChoiceInput] | None:
+    ) -> tuple[TrackedWorker, ChoiceRecord] | None:
         """A plain or decode worker, drawn at random with the sooner ones more often.
 
         Of many candidates some are looked at, as in choices by cost.
@@ -77,20 +77,24 @@
         if not left:
             return None
         rng = self.state.rng
-        if len(left) > SAMPLE:
-            affinity = self.request.facts.own_part if self.stage is Stage.DECODE else ""
-            left = by_affinity(left, affinity)[:SAMPLE] if affinity else rng.sample(left, SAMPLE)
+        if len(left) > MAX_CANDIDATES:
+            affinity = self.request.facts.last_prompt_part if self.stage is Stage.DECODE else ""
+            left = (
+                rank_by_affinity(left, affinity)[:MAX_CANDIDATES]
+                if affinity
+                else rng.sample(left, MAX_CANDIDATES)
+            )
         ends = self._ends(left)
         doubtful = {
             tracked.worker.id
             for tracked in left
-            if predicted_end.is_doubtful(tracked, self.around, self.state.clock())
+            if predicted_end.is_doubtful(tracked, self.context, self.state.clock())
         }
         return self._chosen(left, ends, predicted_end.draw_by_end(ends, doubtful, rng))
 
     async def choose_prefill(
         self, candidates: Sequence[TrackedWorker], *, wish: PermitWish | None
-    ) -> tuple[TrackedWorker, ChoiceInput] | None:
+    ) -> tuple[TrackedWorker, ChoiceRecord] | None:
         """The soonest of some prefill workers drawn by speed and probed.
 
         ``wish`` is for permits of the probes; None asks for no probes. Without any answer to them
@@ -99,7 +103,7 @@
         state = self.state
         left = predicted_end.without_doubtful(
             self._left(candidates),
-            around=self.around,
+            context=self.context,
             now=state.clock(),
             least=predicted_end.PREFILL_CANDIDATES,
         )
@@ -123,10 +127,10 @@
 
     def _chosen(
         self, compared: list[TrackedWorker], ends: dict[str, PredictedEnd], worker_id: str
-    ) -> tuple[TrackedWorker, ChoiceInput]:
+    ) -> tuple[TrackedWorker, ChoiceRecord]:
         best = next(tracked for tracked in compared if tracked.worker.id == worker_id)
         now = self.state.clock()
-        chosen = describe(best, self.around, now, candidates=len(compared))
+        chosen = describe_choice(best, self.context, now, candidates=len(compared))
         return best, replace(chosen, end=ends[worker_id])
 
     def _pace(self, tracked: TrackedWorker) -> PaceEstimate:
@@ -138,7 +142,12 @@
         return {tracked.worker.id: self._end(tracked, usual) for tracked in tracked_workers}
 
     def _end(self, tracked: TrackedWorker, usual: UsualTimes) -> PredictedEnd:
-        state, now, around, pace = self.state, self.state.clock(), self.around, self._pace(tracked)
+        state, now, context, pace = (
+            self.state,
+            self.state.clock(),
+            self.context,
+            self._pace(tracked),
+        )
         if self.stage is Stage.PREFILL:
             tokens = self.request.facts.prompt_tokens
             reading = state.prefill_pace(self.service)
@@ -148,7 +157,7 @@
                 usual=replace(usual, prompt_s=usual.prompt_s or reading.reading_s(tokens)),
                 reading=reading,
                 told_wait_s=state.peers.prefill_wait_s(tracked.worker.id, now),
-                around=around,
+                context=context,
                 pace=pace,
                 now=now,
             )
@@ -158,12 +167,14 @@
                 usual=usual,
                 target_s=self.request.route.target_s,
                 target_gap_s=self.request.route.target_gap_s,
-                around=around,
+                context=context,
                 pace=pace,
                 now=now,
             )
         usual_s = usual.answer_s or self.request.route.target_s
-        return predicted_end.plain_end(tracked, usual_s=usual_s, around=around, pace=pace, now=now)
+        return predicted_end.plain_end(
+            tracked, usual_s=usual_s, context=context, pace=pace, now=now
+        )
 
 
 def reading_times(
--- a/src/croftchute/forwarding/workers/kept_prompts.py
+++ b/src/croftchute/forwarding/workers/kept_prompts.py
@@ -14,7 +14,7 @@
 from croftchute.forwarding.workers.request_run import RequestRun
 from croftchute.forwarding.workers.worker_control import ask_kept_parts
 from croftchute.systems.tracked_worker import TrackedWorker
-from croftchute.systems.worker_choice import by_affinity
+from croftchute.systems.worker_choice import rank_by_affinity
 from croftchute.tables.routing import Stage
 
 MAX_WORKERS_ASKED = 16
@@ -24,11 +24,11 @@
 
 async def find_keeper(run: RequestRun) -> str | None:
     """The id of the decode worker that keeps the prompt's own part; None if none is found."""
-    part = run.facts.own_part
+    part = run.facts.last_prompt_part
     usable = run.state.workers.usable(run.service, run.now, stage=Stage.DECODE)
     if not part or run.engine is None:
         return None
-    usable = by_affinity(usable, part)[:MAX_WORKERS_ASKED]
+    usable = rank_by_affinity(usable, part)[:MAX_WORKERS_ASKED]
     answers = await asyncio.gather(*(_kept_tokens(run, tracked, part) for tracked in usable))
     tokens, keeper = max(zip(answers, (b.worker.id for b in usable), strict=True), default=(0, ""))
     run.log(
--- a/src/croftchute/forwarding/workers/part_reader.py
+++ b/src/croftchute/forwarding/workers/part_reader.py
@@ -61,5 +61,5 @@
     def _note_part(self) -> None:
         now = self.run.now
         if self._last_at is not None:
-            self.run.state.workers.note_pause(self.call.worker.id, now - self._last_at)
+            self.run.state.workers.note_chunk_gap(self.call.worker.id, now - self._last_at)
         self._last_at = now
--- a/src/croftchute/forwarding/workers/plain_admission.py
+++ b/src/croftchute/forwarding/workers/plain_admission.py
@@ -11,7 +11,7 @@
 from croftchute.systems import plain_queue
 from croftchute.systems.plain_queue import PlainChoice, QueueLoad
 from croftchute.systems.tracked_worker import TrackedWorker
-from croftchute.systems.worker_choice import ChoiceInput
+from croftchute.systems.worker_choice import ChoiceRecord
 from croftchute.tables.paces import PaceSource, PredictedEnd
 from croftchute.tables.routing import Service
 
@@ -24,7 +24,7 @@
     """Where a call goes by the load just told; ``found`` is None if it would be late everywhere."""
 
     choice: PlainChoice
-    found: tuple[TrackedWorker, ChoiceInput] | None
+    found: tuple[TrackedWorker, ChoiceRecord] | None
 
 
 async def admit(run: RequestRun) -> Admission | None:
@@ -56,7 +56,7 @@
         return Admission(choice=choice, found=None)
     tracked = next(b for b in asked if b.worker.id == choice.worker_id)
     end = _predicted(choice, loads_by_id[choice.worker_id], work_s)
-    described = replace(run.describe(tracked, candidates=len(loads_by_id)), end=end)
+    described = replace(run.describe_choice(tracked, candidates=len(loads_by_id)), end=end)
     return Admission(choice=choice, found=(tracked, described))
 
 
--- a/src/croftchute/forwarding/workers/plain_run.py
+++ b/src/croftchute/forwarding/workers/plain_run.py
@@ -18,7 +18,7 @@
 from croftchute.forwarding.workers.worker_call import WorkerCall
 from croftchute.systems import patience
 from croftchute.systems.tracked_worker import TrackedWorker
-from croftchute.systems.worker_choice import ChoiceInput
+from croftchute.systems.worker_choice import ChoiceRecord
 from croftchute.tables.routing import HeaderList
 
 
@@ -68,7 +68,7 @@
 
 
 async def _attempt(
-    run: RequestRun, tracked: TrackedWorker, chosen: ChoiceInput, progress: Progress
+    run: RequestRun, tracked: TrackedWorker, chosen: ChoiceRecord, progress: Progress
 ) -> WholeAnswer | None:
     send = Send(worker=tracked.worker, time_left_s=run.time_left_s, priority=run.priority)
     call = WorkerCall(run=run, tracked=tracked, send=send, chosen=chosen)
--- a/src/croftchute/forwarding/workers/prompt_reader.py
+++ b/src/croftchute/forwarding/workers/prompt_reader.py
@@ -18,7 +18,7 @@
 from croftchute.systems import patience
 from croftchute.systems.prefill_queue import ReadingTimes
 from croftchute.systems.tracked_worker import TrackedWorker
-from croftchute.systems.worker_choice import ChoiceInput
+from croftchute.systems.worker_choice import ChoiceRecord
 from croftchute.tables.routing import Stage
 
 MAX_TRIES = 2
@@ -71,7 +71,7 @@
 
     async def _choose(
         self, decode: TrackedWorker, *, may_probe: bool
-    ) -> tuple[TrackedWorker, ChoiceInput] | None:
+    ) -> tuple[TrackedWorker, ChoiceRecord] | None:
         """A prefill worker near a decode worker; one round of probes at most for a request."""
         run = self.run
         near = decode.worker.zone
@@ -105,7 +105,7 @@
         return run.arrivals == 0 or (leaves_attempt and run.may_send_again())
 
     def _reading_times(
-        self, prefill: TrackedWorker, chosen: ChoiceInput, decode: TrackedWorker
+        self, prefill: TrackedWorker, chosen: ChoiceRecord, decode: TrackedWorker
     ) -> ReadingTimes:
         run = self.run
         tokens = run.facts.prompt_tokens
@@ -118,7 +118,7 @@
         )
 
     def _is_better_ahead(
-        self, prefill: TrackedWorker, chosen: ChoiceInput, decode: TrackedWorker
+        self, prefill: TrackedWorker, chosen: ChoiceRecord, decode: TrackedWorker
     ) -> bool:
         """Whether the prefill worker's queue is short enough to read the prompt there."""
         run = self.run
@@ -138,7 +138,7 @@
         )
         return False
 
-    async def _read(self, tracked: TrackedWorker, chosen: ChoiceInput) -> PrefillHandle | None:
+    async def _read(self, tracked: TrackedWorker, chosen: ChoiceRecord) -> PrefillHandle | None:
         run = self.run
         send = Send(
             worker=tracked.worker,
--- a/src/croftchute/forwarding/workers/request_run.py
+++ b/src/croftchute/forwarding/workers/request_run.py
@@ -15,7 +15,7 @@
 from croftchute.systems.room_order import OrderWay, room_rank
 from croftchute.systems.size_lanes import RoomWay, by_lane, is_large
 from croftchute.systems.tracked_worker import TrackedWorker
-from croftchute.systems.worker_choice import ChoiceInput, Surroundings, choose, describe
+from croftchute.systems.worker_choice import ChoiceContext, ChoiceRecord, choose, describe_choice
 from croftchute.tables.organisations import Organisation
 from croftchute.tables.routing import EngineTraits, RequestFacts, Route, RouteKind, Stage
 
@@ -87,12 +87,12 @@
     def ends_readers(self) -> bool:
         """Whether its prompt is not read ahead, as workers ended that did so."""
         crashes = self.state.crashes
-        return crashes.may_refuse and crashes.refused_s(self.reading_digest, self.now) > 0.0
+        return crashes.has_refusals and crashes.refusal_left_s(self.reading_digest, self.now) > 0.0
 
     @property
     def _refused_s(self) -> float:
         crashes = self.state.crashes
-        return crashes.refused_s(self.digest, self.now) if crashes.may_refuse else 0.0
+        return crashes.refusal_left_s(self.digest, self.now) if crashes.has_refusals else 0.0
 
     @property
     def engine(self) -> EngineTraits | None:
@@ -161,25 +161,25 @@
         return max(0.0, self.deadline_at - self.now)
 
     @property
-    def rest_left_s(self) -> float:
+    def backoff_left_s(self) -> float:
         """When the first worker takes work again, if all that could serve the request rest."""
         stage = Stage.DECODE if self.engine is not None else None
-        return self.state.workers.rest_left_s(self.service, self.now, stage=stage)
+        return self.state.workers.backoff_left_s(self.service, self.now, stage=stage)
 
     def choose(
         self, stage: Stage | None, *, near: str = ""
-    ) -> tuple[TrackedWorker, ChoiceInput] | None:
+    ) -> tuple[TrackedWorker, ChoiceRecord] | None:
         """A worker for the next sending, within the route's attempts; best in the zone ``near``."""
         candidates = self.candidates(stage)
         if chooses_by_end(self.state, self.service):
             return self.end_choice(stage, near=near).choose(candidates)
         return choose(
             candidates,
-            around=self.surroundings(stage, near=near),
+            context=self.choice_context(stage, near=near),
             avoid=self.avoid | self.full,
             now=self.now,
             rng=self.state.rng,
-            affinity=self.facts.own_part if stage is Stage.DECODE else "",
+            affinity=self.facts.last_prompt_part if stage is Stage.DECODE else "",
         )
 
     def candidates(self, stage: Stage | None) -> list[TrackedWorker]:
@@ -195,8 +195,8 @@
 
     def end_choice(self, stage: Stage | None, *, near: str = "") -> EndChoice:
         """A choice by predicted end for the next sending."""
-        around = self.surroundings(stage, near=near)
-        return EndChoice(request=self, stage=stage, around=around, avoid=self.avoid | self.full)
+        context = self.choice_context(stage, near=near)
+        return EndChoice(request=self, stage=stage, context=context, avoid=self.avoid | self.full)
 
     @property
     def is_large(self) -> bool:
@@ -204,7 +204,9 @@
         engine = self.engine
         if engine is None:
             return False
-        return is_large(self.facts.prompt_tokens + self.facts.likely_output, engine.kv_tokens)
+        return is_large(
+            self.facts.prompt_tokens + self.facts.planned_output_tokens, engine.kv_tokens
+        )
 
     def _within_lane(self, candidates: list[TrackedWorker]) -> list[TrackedWorker]:
         """The decode workers that requests of this size may have."""
@@ -224,19 +226,19 @@
         passed_over = self.avoid | {self.last_worker}
         return any(tracked.worker.id not in passed_over for tracked in usable)
 
-    def surroundings(self, stage: Stage | None, *, near: str = "") -> Surroundings:
+    def choice_context(self, stage: Stage | None, *, near: str = "") -> ChoiceContext:
         """What a choice for this request goes by, besides the workers."""
         full_tokens = 0
         if (engine := self.engine) is not None:
             is_prefill = stage is Stage.PREFILL
             full_tokens = patience.PREFILL_FULL_TOKENS if is_prefill else engine.kv_tokens
         zone = near or self.state.zone
-        return Surroundings(zone=zone, peers=self.state.peers, kv_tokens=full_tokens)
+        return ChoiceContext(zone=zone, peers=self.state.peers, kv_tokens=full_tokens)
 
-    def describe(self, tracked: TrackedWorker, *, candidates: int) -> ChoiceInput:
+    def describe_choice(self, tracked: TrackedWorker, *, candidates: int) -> ChoiceRecord:
         """What is known of a worker that was not chosen by cost."""
-        return describe(
-            tracked, self.surroundings(tracked.worker.stage), self.now, candidates=candidates
+        return describe_choice(
+            tracked, self.choice_context(tracked.worker.stage), self.now, candidates=candidates
         )
 
     async def take_permit(self, tracked: TrackedWorker, *, calls: int = 1) -> bool:
@@ -250,11 +252,11 @@
             return True
         usable = state.workers.usable(self.service, self.now, stage=worker.stage)
         others = [b for b in usable if b is not tracked and b.worker.id not in self.avoid]
-        wishes = state.workers.wishes
-        wish = wishes.told_by(worker.id, self.now)
+        advice = state.workers.advice
+        wish = advice.active_advice(worker.id, self.now)
         asked = self.permit_wish(calls=calls, patience_s=0.0 if others else self.time_left_s)
         may_call = await state.permits.take(worker, asked)
-        if may_call and wishes.told_by(worker.id, self.now) != wish:
+        if may_call and advice.active_advice(worker.id, self.now) != wish:
             # It said so while the permit was asked for: it is chosen anew, or another one.
             state.permits.give_back(worker, calls)
             return False
@@ -326,9 +328,9 @@
             code, detail = Code.ENDS_WORKERS, self._crash_detail()
         self.has_not_run = ran is Ran.NOT_RUN
         lacks_worker = code in (Code.NO_UPSTREAM, Code.NO_CAPACITY) and ran is Ran.NOT_RUN
-        if lacks_worker and (rest_left_s := self.rest_left_s) > 0.0:
+        if lacks_worker and (backoff_left_s := self.backoff_left_s) > 0.0:
             detail = "all workers asked for rest, or take no more calls for now"
-            expected_wait_s = rest_left_s
+            expected_wait_s = backoff_left_s
         retry_after_s = None
         if expected_wait_s is not None:
             retry_after_s = patience.return_after(expected_wait_s, spread=self.state.rng.random())
@@ -367,7 +369,7 @@
         )
 
     def _crash_detail(self) -> str:
-        lives = self.state.crashes.lives_ended(self.digest)
+        lives = self.state.crashes.crash_count(self.digest)
         return f"{lives} workers ended under this request of the same caller"
 
     def broken(self, reason: str) -> None:
--- a/src/croftchute/forwarding/workers/room_turn.py
+++ b/src/croftchute/forwarding/workers/room_turn.py
@@ -82,7 +82,7 @@
     def __init__(self, *, run: RequestRun) -> None:
         self.run = run
         self._name = run.facts.organisation
-        self._tokens = run.facts.prompt_tokens + run.facts.likely_output
+        self._tokens = run.facts.prompt_tokens + run.facts.planned_output_tokens
         self._asked_at: float | None = None
         self._has_room = False
 
--- a/src/croftchute/forwarding/workers/stage_orders.py
+++ b/src/croftchute/forwarding/workers/stage_orders.py
@@ -191,17 +191,18 @@
         """The workers of a service that did not say that they leave."""
         workers = self.state.workers
         return [
-            b for b in workers.of_service(service) if not workers.wishes.is_leaving(b.worker.id)
+            b for b in workers.of_service(service) if not workers.advice.is_leaving(b.worker.id)
         ]
 
     def _resting(self, tracked_workers: list[TrackedWorker]) -> dict[str, Stage]:
         """The stages of workers that rest: they count as they are, and get no order meanwhile."""
         now = self.state.clock()
-        wishes = self.state.workers.wishes
+        advice = self.state.workers.advice
         return {
             tracked.worker.id: tracked.worker.stage
             for tracked in tracked_workers
-            if tracked.worker.stage is not None and wishes.rest_left_s(tracked.worker.id, now) > 0.0
+            if tracked.worker.stage is not None
+            and advice.backoff_left_s(tracked.worker.id, now) > 0.0
         }
 
     def _read_limit_s(self, table: RoutingTable, service: str) -> float:
--- a/src/croftchute/forwarding/workers/stream_run.py
+++ b/src/croftchute/forwarding/workers/stream_run.py
@@ -27,7 +27,7 @@
 from croftchute.systems import patience
 from croftchute.systems.prefill_queue import ReadingTimes
 from croftchute.systems.tracked_worker import TrackedWorker
-from croftchute.systems.worker_choice import ChoiceInput
+from croftchute.systems.worker_choice import ChoiceRecord
 from croftchute.tables.routing import HeaderList, Stage
 
 
@@ -88,7 +88,7 @@
         run.state.demand(run.service).note_ask(
             run.now,
             prompt_tokens=facts.prompt_tokens,
-            output_tokens=facts.likely_output,
+            output_tokens=facts.planned_output_tokens,
             is_large=run.is_large,
         )
         if facts.resume_after is not None:
@@ -99,7 +99,7 @@
             if found is None:
                 return
             source = await self.reader.read_for(found[0])
-            if run.state.workers.wishes.rest_left_s(found[0].worker.id, run.now) > 0.0:
+            if run.state.workers.advice.backoff_left_s(found[0].worker.id, run.now) > 0.0:
                 # It asked for rest while the prompt was read: its room is left for another's.
                 self.room.drop_unused()
                 continue
@@ -121,7 +121,7 @@
     def _prefill_rests(self) -> bool:
         """Whether prompts are read by decode workers alone, as those that read ahead rest."""
         run = self.run
-        return run.state.workers.rest_left_s(run.service, run.now, stage=Stage.PREFILL) > 0.0
+        return run.state.workers.backoff_left_s(run.service, run.now, stage=Stage.PREFILL) > 0.0
 
     def _note_room(self) -> None:
         """Keep why no worker had room, for the caller's answer if none is found."""
@@ -137,7 +137,7 @@
     # Decode.
 
     async def _decode(
-        self, tracked: TrackedWorker, chosen: ChoiceInput, source: PrefillHandle | None
+        self, tracked: TrackedWorker, chosen: ChoiceRecord, source: PrefillHandle | None
     ) -> None:
         run = self.run
         progress = self.progress
@@ -260,7 +260,7 @@
         if not is_resumed and run.first_byte_at is not None:
             run.state.demand(run.service).note_ended(
                 run.now,
-                output_tokens=run.facts.likely_output,
+                output_tokens=run.facts.planned_output_tokens,
                 seconds=run.now - run.first_byte_at,
             )
 
--- a/src/croftchute/forwarding/workers/wish_reader.py
+++ b/src/croftchute/forwarding/workers/wish_reader.py
@@ -9,7 +9,7 @@
 from croftchute.forwarding.dialect import Verdict
 from croftchute.forwarding.http.http_client import ResponseHead
 from croftchute.forwarding.state import ForwardingState
-from croftchute.systems.worker_wishes import WorkerWish
+from croftchute.systems.worker_advice import WorkerAdvice
 from croftchute.tables.peers import LimitNotice
 from croftchute.tables.routing import Worker
 
@@ -18,19 +18,19 @@
     """Keep the wish that an answer to ``call`` tells, if it tells one."""
     wish = state.workers_speak.wish(head)
     now = state.clock()
-    wishes = state.workers.wishes
-    if wish.is_leaving and wishes.note_leaving(worker.id, now):
+    advice = state.workers.advice
+    if wish.is_leaving and advice.note_leaving(worker.id, now):
         state.metrics.wishes.inc({"wish": "leaving", "call": call})
         _log(state, Decision.WORKER_LEAVING, worker, head, call)
     if wish.rest_s > 0.0:
-        wishes.note_rest(worker.id, wish.rest_s, now)
+        advice.note_backoff(worker.id, wish.rest_s, now)
         state.metrics.wishes.inc({"wish": "rest", "call": call})
         _log(state, Decision.WORKER_RESTS, worker, head, call, rest_s=round(wish.rest_s, 3))
     _note_limit(state, worker, head, wish, call=call)
 
 
 def _note_limit(
-    state: ForwardingState, worker: Worker, head: ResponseHead, wish: WorkerWish, *, call: str
+    state: ForwardingState, worker: Worker, head: ResponseHead, wish: WorkerAdvice, *, call: str
 ) -> None:
     """Keep the limit that an answer names, or that it names none."""
     now = state.clock()
@@ -38,8 +38,8 @@
     if wish.limit_per_s is None:
         is_its_own = state.workers_speak.verdict(head) is not Verdict.WRONG_WORKER
         if limits.by_id and is_its_own and not wish.has_odd_limit:
-            limits.note_left_out(worker.id, now)
-    elif limits.note_named(worker.id, wish.limit_per_s, now):
+            limits.note_no_limit(worker.id, now)
+    elif limits.note_limit(worker.id, wish.limit_per_s, now):
         state.metrics.wishes.inc({"wish": "limit", "call": call})
         _log(state, Decision.WORKER_LIMITED, worker, head, call, limit_per_s=wish.limit_per_s)
         state.on_limit_news()
@@ -57,7 +57,7 @@
     The store may be away for long, and each box would otherwise lose a request there to hear it.
     """
     now = state.clock()
-    if state.workers.wishes.note_leaving(worker_id, now, known_for_s=math.inf):
+    if state.workers.advice.note_leaving(worker_id, now, known_for_s=math.inf):
         state.metrics.wishes.inc({"wish": "leaving", "call": "notice"})
         state.log.decide(
             Decision.WORKER_LEAVING, outcome="told by a peer", worker=worker_id, source=sender
@@ -66,7 +66,7 @@
 
 def note_limit_heard(state: ForwardingState, notice: LimitNotice, *, sender: str) -> None:
     """Another box tells of a worker that names a limit: it holds for all boxes together."""
-    if state.workers.limits.hear(notice, state.clock()):
+    if state.workers.limits.apply_notice(notice, state.clock()):
         state.metrics.wishes.inc({"wish": "limit", "call": "notice"})
         state.log.decide(
             Decision.WORKER_LIMITED,
--- a/src/croftchute/forwarding/workers/worker_call.py
+++ b/src/croftchute/forwarding/workers/worker_call.py
@@ -16,7 +16,7 @@
 from croftchute.forwarding.workers.wish_reader import note_displaced, note_wish
 from croftchute.systems import patience
 from croftchute.systems.tracked_worker import TrackedWorker
-from croftchute.systems.worker_choice import ChoiceInput
+from croftchute.systems.worker_choice import ChoiceRecord
 
 MAX_ANSWER_BYTES = 16 << 20
 """Longest whole answer in bytes: four times the longest body of a caller."""
@@ -47,7 +47,7 @@
     """One sending of a request to one worker; always end it with :meth:`close`."""
 
     def __init__(
-        self, *, run: RequestRun, tracked: TrackedWorker, send: Send, chosen: ChoiceInput
+        self, *, run: RequestRun, tracked: TrackedWorker, send: Send, chosen: ChoiceRecord
     ) -> None:
         self.run = run
         self.tracked = tracked
@@ -78,7 +78,7 @@
         resets new connections, and that costs it as well, where a kept one brings a rejection.
         """
         may_repeat = self.send.is_prefill or self.run.route.may_repeat
-        if may_repeat or self.tracked.has_rejected_lately(self.run.now):
+        if may_repeat or self.tracked.has_rejected_recently(self.run.now):
             return math.inf
         return patience.ONCE_IDLE_S
 
@@ -90,7 +90,7 @@
         self._is_counted = True
         self.tracked.sent_at_by_call[self] = run.now
         run.state.workers.note_sent(worker.id, self._tokens)
-        run.state.workers.wishes.note_sent(worker.id, run.now)
+        run.state.workers.advice.note_sent(worker.id, run.now)
         connection = await run.state.pool.acquire(
             worker.host,
             worker.port,
@@ -118,7 +118,7 @@
             candidates=self.chosen.candidates,
             belief_age_s=self.chosen.age_s,
             config_version=run.state.table.version if run.state.table else 0,
-            wish=run.state.workers.wishes.told_by(worker.id, run.now),
+            wish=run.state.workers.advice.active_advice(worker.id, run.now),
             limit_per_s=run.state.workers.limits.limit_of(worker.id, run.now),
             reused=connection.uses > 1,
             source=self.send.source.worker.id if self.send.source else "",
@@ -175,7 +175,7 @@
         )
         note_answer_pace(self.run.state, self.worker, self.run.now - self.opened_at)
         if self.run.state.crashes.by_digest:
-            self.run.state.crashes.note_good_end(self._digest, self.run.now)
+            self.run.state.crashes.note_success(self._digest, self.run.now)
 
     def failed(self, error: ExchangeError) -> None:
         """Hold a failed exchange against the worker."""
@@ -217,7 +217,7 @@
         if self._is_counted:
             self._is_counted = False
             self.tracked.sent_at_by_call.pop(self, None)
-            self.run.state.workers.note_ended(self.worker.id, self._tokens)
+            self.run.state.workers.note_request_ended(self.worker.id, self._tokens)
         if self.connection is not None:
             self.run.state.pool.release(
                 self.connection,
--- a/src/croftchute/forwarding/workers/worker_control.py
+++ b/src/croftchute/forwarding/workers/worker_control.py
@@ -65,7 +65,7 @@
 ) -> tuple[ResponseHead, bytes]:
     """Head and body of a short call, as :func:`control_call`."""
     answer_s = timeout_s if answer_s is None else answer_s
-    state.workers.wishes.note_sent(worker.id, state.clock())
+    state.workers.advice.note_sent(worker.id, state.clock())
     connection = await state.pool.acquire(
         worker.host, worker.port, owner=worker.id, now=state.clock(), timeout_s=timeout_s
     )
@@ -183,7 +183,7 @@
 
 async def _has_rested(state: ForwardingState, worker: Worker) -> bool:
     """Wait until a worker takes calls again; False if what it keeps lapses before."""
-    while (rest_s := state.workers.wishes.rest_left_s(worker.id, state.clock())) > 0.0:
+    while (rest_s := state.workers.advice.backoff_left_s(worker.id, state.clock())) > 0.0:
         if rest_s > LONGEST_LEASE_S:
             return False
         await asyncio.sleep(rest_s)
--- a/src/croftchute/gateway/calls.py
+++ b/src/croftchute/gateway/calls.py
@@ -14,7 +14,7 @@
 from croftchute.peers.messages import Finish
 from croftchute.steady_clock import steady_s
 from croftchute.systems.dedupe import MAX_STORED_ANSWER
-from croftchute.systems.worker_wishes import WorkerWishes
+from croftchute.systems.worker_advice import WorkerAdviceTable
 from croftchute.tables.dedupe import Decision, Phase
 from croftchute.upstreams.service import Service, ServiceAnswer, ServiceCall
 
@@ -85,8 +85,8 @@
         self._finish = finish
         self._now = now
         self._turn = 0
-        self._wishes = WorkerWishes()
-        self._wishes_lock = threading.Lock()
+        self._advice = WorkerAdviceTable()
+        self._advice_lock = threading.Lock()
 
     def call(
         self, request: CallRequest, exchange: Exchange, has_left: Callable[[], bool]
@@ -184,13 +184,13 @@
         """Make one call, and keep for how long its worker wants no other."""
         answer = self._service.call(_service_call(request, url))
         if answer.rest_s > 0.0:
-            with self._wishes_lock:
-                self._wishes.note_rest(url, answer.rest_s, self._now())
+            with self._advice_lock:
+                self._advice.note_backoff(url, answer.rest_s, self._now())
         return answer
 
     def _rest_left_s(self, url: str) -> float:
-        with self._wishes_lock:
-            return self._wishes.rest_left_s(url, self._now())
+        with self._advice_lock:
+            return self._advice.backoff_left_s(url, self._now())
 
     def _order(self, route: Route) -> tuple[str, ...]:
         """The workers in turn, without those that rest."""
--- a/src/croftchute/router_settings.py
+++ b/src/croftchute/router_settings.py
@@ -13,7 +13,7 @@
 from croftchute.systems.room_order import OrderWay
 from croftchute.systems.service_capacity import SplitWay
 from croftchute.systems.size_lanes import RoomWay
-from croftchute.tables.organisations import LimitWay
+from croftchute.tables.organisations import LimitMode
 
 Port = Annotated[int, msgspec.Meta(ge=0, le=65535)]
 Positive = Annotated[float, msgspec.Meta(gt=0)]
@@ -62,7 +62,7 @@
 class DecisionWays(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
     """Which way each decision is made that has more than one; unknown names are refused."""
 
-    limits: LimitWay = LimitWay.POOLED
+    limits: LimitMode = LimitMode.POOLED
     room: RoomWay = RoomWay.LANES
     split: SplitWay = SplitWay.AUTO
     returns: ReturnWay = ReturnWay.RETURNED_FIRST
--- a/src/croftchute/soak/box_program.py
+++ b/src/croftchute/soak/box_program.py
@@ -44,8 +44,8 @@
 from croftchute.systems.crash_records import CrashRecords  # noqa: E402
 from croftchute.systems.tracked_worker import TrackedWorker  # noqa: E402
 from croftchute.systems.usage_bucket import UsageBucket  # noqa: E402
+from croftchute.systems.worker_advice import NO_ADVICE  # noqa: E402
 from croftchute.systems.worker_table import WorkerTable  # noqa: E402
-from croftchute.systems.worker_wishes import NO_WISH  # noqa: E402
 from croftchute.tables.organisations import (  # noqa: E402
     KeyClaim,
     Organisation,
@@ -235,7 +235,7 @@
 
 def run_crashing() -> None:
     """Run requests that end workers without an end."""
-    CrashRecords.refused_s = lambda self, digest, now: 0.0  # type: ignore[method-assign]  # noqa: ARG005
+    CrashRecords.refusal_left_s = lambda self, digest, now: 0.0  # type: ignore[method-assign]  # noqa: ARG005
 
 
 def crashes_untold() -> None:
@@ -247,7 +247,7 @@
 
 def wishes_unheard() -> None:
     """Read nothing of what answers say that their workers want."""
-    headers.read_wish = lambda head: NO_WISH  # noqa: ARG005
+    headers.read_wish = lambda head: NO_ADVICE  # noqa: ARG005
 
 
 def limits_alone() -> None:
@@ -269,7 +269,7 @@
         bucket.fill(now, limit=limit, capacity=capacity)
         if bucket.take(float(wish.calls), extra=0.0, capacity=capacity):
             return True
-        self.state.workers.limits.by_id[worker.id].closed_until = now + MIN_CLOSED_S
+        self.state.workers.limits.by_id[worker.id].blocked_until = now + MIN_CLOSED_S
         return False
 
     WorkerPermits.take = take  # type: ignore[method-assign]
--- a/src/croftchute/soak/checks.py
+++ b/src/croftchute/soak/checks.py
@@ -22,7 +22,7 @@
 from croftchute.soak.world import EVENTS, MAX_ATTEMPTS, ListedWorker, SoakWorld, added_path
 from croftchute.standins.platform_caller import Try, fault_of
 from croftchute.standins.worker_records import Run
-from croftchute.systems.crash_records import LIVES_TO_REFUSE
+from croftchute.systems.crash_records import CRASHES_TO_REFUSE
 
 CONTACT_S = 3.0
 APPLY_S = 2.0
@@ -283,9 +283,9 @@
                 if (run.path, run.body) == (request.path, request.body)
             ]
             ends = sorted(run.started_at for run, _ in runs)
-            if len(ends) < LIVES_TO_REFUSE:
+            if len(ends) < CRASHES_TO_REFUSE:
                 continue
-            known_at = ends[LIVES_TO_REFUSE - 1] + CONTACT_S + self.slack_s
+            known_at = ends[CRASHES_TO_REFUSE - 1] + CONTACT_S + self.slack_s
             late = [
                 attempt
                 for run, attempt in runs
--- a/src/croftchute/soak/injector.py
+++ b/src/croftchute/soak/injector.py
@@ -23,8 +23,8 @@
 from croftchute.soak.worker_limits import LimitingWorkers
 from croftchute.soak.world import DESK, ENGINES, HALLS, ListedWorker, SoakWorld
 from croftchute.standins.worker_records import sound_but
-from croftchute.systems.hall_relays import RELAYS
-from croftchute.systems.rendezvous import rank
+from croftchute.systems.hall_relays import RELAY_COUNT
+from croftchute.systems.rendezvous import rank_nodes
 
 T = TypeVar("T")
 
@@ -200,7 +200,7 @@
         hall = _pick(HALLS, fault)
         boxes_by_name = {box.name: box for box in self.boxes if box.hall == hall}
         pauses = []
-        for number, name in enumerate(rank(hall, boxes_by_name)[:RELAYS]):
+        for number, name in enumerate(rank_nodes(hall, boxes_by_name)[:RELAY_COUNT]):
             if (fault.pick + number) % 2:
                 self._signals.end(boxes_by_name[name], signal.SIGKILL)
             else:
--- a/src/croftchute/soak/key_checks.py
+++ b/src/croftchute/soak/key_checks.py
@@ -34,7 +34,7 @@
 
     def always(self, workers: list[ListedWorker]) -> Iterator[Violation]:
         """Rules that hold without a time."""
-        yield from self._strangers()
+        yield from self._unknown_attempts()
         yield from self._what_workers_saw(workers)
         yield from self._limits()
 
@@ -50,7 +50,7 @@
             if attempt.status == DENIED and self._was_in_force(attempt, key):
                 yield broken("keys in force are not refused", attempt, key.key)
 
-    def _strangers(self) -> Iterator[Violation]:
+    def _unknown_attempts(self) -> Iterator[Violation]:
         for request_id, attempt in self.tries.items():
             key = self.keys_by_id.get(request_id)
             if key is None:
--- a/src/croftchute/systems/allowance_pool.py
+++ b/src/croftchute/systems/allowance_pool.py
@@ -21,14 +21,14 @@
 """Seconds for which a share is lent: three times between two askings, so that one may be lost and
 answers take 0.3 s. For as long nothing is lent after a start, or after the end of a pool."""
 
-SETTLE_S = 0.02
+RECOUNT_INTERVAL_S = 0.02
 """Seconds between two looks at all leases, which end this much earlier for it."""
 
 NO_SHARE_WAIT_S = 0.5
 """Seconds to come back in where a pool has no shares at the moment: half a lease, and a round."""
 
 
-class Limited(Protocol):
+class HasLimit(Protocol):
     """An organisation, or a worker that names a limit."""
 
     @property
@@ -68,13 +68,13 @@
         A share without an echo counts from the lender's next message on. ``is_first`` says that the
         lender's present life lends it for the first time.
         """
-        self._settle(now)
+        self._recount(now)
         lender = self.lenders_by_box.get(box)
         if lender is not None:
             self._count(lender, now)
         if share <= 0.0 or not now - LEASE_S < echo <= now:
             return
-        expires_at = echo + LEASE_S - SETTLE_S
+        expires_at = echo + LEASE_S - RECOUNT_INTERVAL_S
         if lender is None:
             lender = _Lender(share=share, counted_to=now, expires_at=expires_at)
             self.lenders_by_box[box] = lender
@@ -91,9 +91,9 @@
             lender.share for lender in self.lenders_by_box.values() if lender.expires_at > now
         )
 
-    def give(self, want: UsageWant, known: Mapping[str, Limited], now: float) -> UsageGrant:
+    def grant(self, want: UsageWant, known: Mapping[str, HasLimit], now: float) -> UsageGrant:
         """Give what a request needs, or say when to ask again."""
-        self._settle(now)
+        self._recount(now)
         limit = _limit_of(want, known)
         if limit is None:
             return UsageGrant(name=want.name, units=want.units)
@@ -105,15 +105,15 @@
         wait_s = 0.0 if units else self._wait_s(needed - bucket.level, limit)
         return UsageGrant(name=want.name, units=units, wait_s=wait_s)
 
-    def take_back(self, returned: UsageReturn) -> None:
+    def return_units(self, returned: UsageReturn) -> None:
         """Put units back; the next filling bounds them by the capacity."""
         bucket = self.buckets_by_name.get(returned.name)
         if bucket is not None:
             bucket.level += returned.units
 
-    def sweep(self, known: Mapping[str, Limited], now: float) -> None:
+    def sweep(self, known: Mapping[str, HasLimit], now: float) -> None:
         """Forget lenders whose lease is long over, and buckets that are as full as unused ones."""
-        self._settle(now)
+        self._recount(now)
         for box, lender in list(self.lenders_by_box.items()):
             if now - lender.expires_at > LEASE_S:
                 del self.lenders_by_box[box]
@@ -167,9 +167,9 @@
         self._share_seconds += seconds
         self._saved_seconds += seconds
 
-    def _settle(self, now: float) -> None:
+    def _recount(self, now: float) -> None:
         """Let go of what was saved up by shares that are not lent here any more."""
-        if now - self._settled_at < SETTLE_S:
+        if now - self._settled_at < RECOUNT_INTERVAL_S:
             return
         self._settled_at = now
         for lender in self.lenders_by_box.values():
@@ -184,7 +184,7 @@
         self._live_share = live
 
 
-def _limit_of(want: UsageWant, known: Mapping[str, Limited]) -> UsageLimit | None:
+def _limit_of(want: UsageWant, known: Mapping[str, HasLimit]) -> UsageLimit | None:
     """The limit as this box knows it, or as the asker does where it is not known here."""
     limited = known.get(want.name)
     return want.limit if limited is None else limited.limit
--- a/src/croftchute/systems/box.py
+++ b/src/croftchute/systems/box.py
@@ -38,7 +38,7 @@
 from croftchute.systems.membership import Membership
 from croftchute.systems.owner import Orderer, Owner
 from croftchute.systems.prefix_index import CacheEvent
-from croftchute.systems.rendezvous import rank
+from croftchute.systems.rendezvous import rank_nodes
 from croftchute.systems.shard_choice import ShardChooser
 from croftchute.systems.sharding import assign, build_topology
 from croftchute.tables.boxes import Box, BoxState
@@ -202,7 +202,7 @@
             case Audited():
                 return self.owner.audited(body, now)
             case CrashNews():
-                self.entry.crashes.hear(body, now)
+                self.entry.crashes.apply_notices(body, now)
                 return self._crash_news(now)
             case BoxNotice() | AllowanceAsk() | AllowanceReply():
                 return []  # meant for forwarding boxes, which keep a table of their own
@@ -297,18 +297,18 @@
                 peer_port=self.own.peer_port,
                 admin_port=self.own.admin_port,
             )
-        bodies: list[Body] = [body, *self.entry.crashes.with_beat(now)]
+        bodies: list[Body] = [body, *self.entry.crashes.heartbeat_messages(now)]
         return [SendPeer(box=box, body=part) for box in self._listeners() for part in bodies]
 
     def _crash_news(self, now: float) -> list[Command]:
         """Tell the boxes that hear this one under which requests engines have ended."""
-        news = self.entry.crashes.take_news(now)
+        news = self.entry.crashes.take_outgoing(now)
         return [SendPeer(box=box, body=part) for part in news for box in self._listeners()]
 
     @property
     def is_relay(self) -> bool:
         """Whether this box is one of the few of its hall that talk to the platform."""
-        return self.own.id in rank("relay", self.membership.live_ids())[:RELAYS]
+        return self.own.id in rank_nodes("relay", self.membership.live_ids())[:RELAYS]
 
     def _listeners(self) -> list[str]:
         """Who hears this box: its hall; from a relay, also a few boxes of every other hall."""
@@ -319,7 +319,7 @@
         for hall in sorted({box.hall for box in boxes if box.hall != self.own.hall}):
             there = [box.id for box in boxes if box.hall == hall]
             live = [box for box in there if self.membership.is_live(box)]
-            ids += rank("relay", live or there)[:RELAYS]
+            ids += rank_nodes("relay", live or there)[:RELAYS]
         return ids
 
     def learn_ranges(self, known: RangeMap, now: float) -> list[Command]:
--- a/src/croftchute/systems/dedupe_map.py
+++ b/src/croftchute/systems/dedupe_map.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable, Iterable, Mapping
 from dataclasses import replace
 
-from croftchute.systems.rendezvous import rank
+from croftchute.systems.rendezvous import rank_nodes
 from croftchute.tables.dedupe import RANGES, Member, RangeMap, RangeRow
 
 CLOCK_SKEW_S = 5.0
@@ -38,7 +38,7 @@
 
 def _row(index: int, *, epoch: int, floor: float, members: list[Member]) -> RangeRow:
     member_by_box = {member.box: member for member in members}
-    first, second = rank(f"range-{index}", member_by_box)[:2]
+    first, second = rank_nodes(f"range-{index}", member_by_box)[:2]
     return RangeRow(
         index=index,
         epoch=epoch,
@@ -99,5 +99,5 @@
     if not spares:
         return row
     by_box = {spare.box: spare for spare in spares}
-    second = by_box[rank(f"range-{row.index}", by_box)[0]]
+    second = by_box[rank_nodes(f"range-{row.index}", by_box)[0]]
     return replace(row, epoch=row.epoch + 1, first=own, second=second)
--- a/src/croftchute/systems/entry.py
+++ b/src/croftchute/systems/entry.py
@@ -78,7 +78,7 @@
         """Begin to place a request, or refuse it at once."""
         event = Event(kind=Kind.REQUEST_ARRIVED, request_id=request.id, detail=request.model)
         commands: list[Command] = [Emit(event=event)]
-        refused_s = self.crashes.refused_s(request, now)
+        refused_s = self.crashes.refusal_left_s(request, now)
         if refused_s > 0.0:
             return commands + self._refuse(request.id, Code.ENDS_WORKERS, Ran.NOT_RUN, refused_s)
         model = self.topology.models_by_id.get(request.model)
@@ -298,7 +298,7 @@
     def _may_retry(self, row: OpenRequest, end: AttemptEnd, now: float) -> bool:
         if not end.retryable or row.attempt >= MAX_ATTEMPTS or now >= row.request.deadline_at:
             return False
-        if self.crashes.refused_s(row.request, now) > 0.0:
+        if self.crashes.refusal_left_s(row.request, now) > 0.0:
             return False
         model = self.topology.models_by_id.get(row.request.model)
         return model is not None and self._budget(model.pool).spend()
--- a/src/croftchute/systems/fleet_size.py
+++ b/src/croftchute/systems/fleet_size.py
@@ -11,7 +11,7 @@
 import math
 from dataclasses import dataclass
 
-LOWER_AFTER_S = 300.0
+SHRINK_DELAY_S = 300.0
 """Seconds for which fewer boxes than recorded must be known before the record is lowered. Boxes
 that are cut off serve on with their shares; a cut that lasts longer is one that operators know of.
 Until then a fleet that shrank gets its limits short by the shares of the boxes that are gone."""
@@ -63,4 +63,4 @@
             self._fewer_since = math.inf
             return known
         self._fewer_since = min(self._fewer_since, now)
-        return known if now - self._fewer_since >= LOWER_AFTER_S else None
+        return known if now - self._fewer_since >= SHRINK_DELAY_S else None
--- a/src/croftchute/systems/hall_relays.py
+++ b/src/croftchute/systems/hall_relays.py
@@ -12,33 +12,33 @@
 from collections.abc import Sequence
 from dataclasses import dataclass, field
 
-from croftchute.systems.rendezvous import rank, weight
+from croftchute.systems.rendezvous import rank_nodes, rendezvous_weight
 from croftchute.tables.peers import Peer
 
-RELAYS = 2
+RELAY_COUNT = 2
 """Boxes of a hall that read the store: one may be gone, slow or cut off from it."""
 
-WIDE_SHARE = 0.5
+WIDE_LINK_RATIO = 0.5
 """Share of the widest link of the hall from which on a link counts as wide: the relay of a long
 configuration reads it and passes it on to half of the hall."""
 
-MOST_RELAYS = 4
+MAX_RELAYS = 4
 """Boxes that a follower asks, one after the other, before it reads the store itself."""
 
-MIN_HALL = 6
+MIN_HALL_SIZE = 6
 """Boxes of a hall from which on some of them follow: in smaller halls too few calls are saved."""
 
-LIVE_S = 15.0
+PEER_LIVE_S = 15.0
 """Seconds since its last notice for which a box counts as alive here: boxes of a hall hear each
 other every two to three seconds in a hall of forty."""
 
-PASSED_OVER_S = 4.0
+RELAY_BACKOFF_S = 4.0
 """Seconds for which a relay that did not answer, or has lost the store, is not asked again."""
 
-MIN_LOST = 2
+MIN_STORE_LOST_REPORTS = 2
 """Relays that say that they lost the store for a follower to take it as lost for the hall."""
 
-ASKED_S = 15.0
+RELAY_DUTY_S = 15.0
 """Seconds for which a box that was asked for news reads the store, even if it ranks itself low."""
 
 
@@ -49,59 +49,59 @@
     own_id: str
     hall: str
     own_mbps: float = 0.0
-    _passed_over_until: dict[str, float] = field(default_factory=dict)
+    _skipped_until: dict[str, float] = field(default_factory=dict)
     _lost_until: dict[str, float] = field(default_factory=dict)
     _asked_until: float = 0.0
 
-    def to_follow(self, mates: Sequence[Peer], now: float) -> Peer | None:
+    def relay_to_ask(self, hall_peers: Sequence[Peer], now: float) -> Peer | None:
         """The box to ask for news; None if this box should read the store itself.
 
-        ``mates`` are the other live boxes of the hall.
+        ``hall_peers`` are the other live boxes of the hall.
         """
-        if len(mates) + 1 < MIN_HALL or now < self._asked_until:
+        if len(hall_peers) + 1 < MIN_HALL_SIZE or now < self._asked_until:
             return None
-        mates_by_id = {mate.id: mate for mate in mates}
-        order = self._order(mates)
-        if self.own_id in order[:RELAYS]:
+        peers_by_id = {mate.id: mate for mate in hall_peers}
+        order = self._order(hall_peers)
+        if self.own_id in order[:RELAY_COUNT]:
             return None
-        asked = self._turned(order[:RELAYS]) + order[RELAYS:MOST_RELAYS]
-        usable = [box for box in asked if now >= self._passed_over_until.get(box, 0.0)]
-        return next((mates_by_id[box] for box in usable if box in mates_by_id), None)
+        asked = self._rotated(order[:RELAY_COUNT]) + order[RELAY_COUNT:MAX_RELAYS]
+        usable = [box for box in asked if now >= self._skipped_until.get(box, 0.0)]
+        return next((peers_by_id[box] for box in usable if box in peers_by_id), None)
 
-    def pass_over(self, box_id: str, now: float, *, has_lost_store: bool = False) -> None:
+    def skip_relay(self, box_id: str, now: float, *, has_lost_store: bool = False) -> None:
         """A box gave no news: ask others for a while."""
-        self._passed_over_until = _still(self._passed_over_until, now)
-        self._passed_over_until[box_id] = now + PASSED_OVER_S
-        self._lost_until = _still(self._lost_until, now)
+        self._skipped_until = _unexpired(self._skipped_until, now)
+        self._skipped_until[box_id] = now + RELAY_BACKOFF_S
+        self._lost_until = _unexpired(self._lost_until, now)
         if has_lost_store:
-            self._lost_until[box_id] = now + PASSED_OVER_S
+            self._lost_until[box_id] = now + RELAY_BACKOFF_S
 
     def is_store_lost(self, now: float) -> bool:
         """Whether several relays of the hall do not reach the store either."""
-        return len(_still(self._lost_until, now)) >= MIN_LOST
+        return len(_unexpired(self._lost_until, now)) >= MIN_STORE_LOST_REPORTS
 
     def note_asked(self, now: float) -> None:
         """Another box takes this one for a relay: read the store for a while."""
-        self._asked_until = now + ASKED_S
+        self._asked_until = now + RELAY_DUTY_S
 
-    def is_asked(self, now: float) -> bool:
+    def has_relay_duty(self, now: float) -> bool:
         """Whether another box asked for news lately."""
         return now < self._asked_until
 
-    def _order(self, mates: Sequence[Peer]) -> list[str]:
+    def _order(self, hall_peers: Sequence[Peer]) -> list[str]:
         """All boxes of the hall, those with wide links first, by rank among them."""
-        mbps_by_id = {mate.id: mate.link_mbps for mate in mates} | {self.own_id: self.own_mbps}
-        bar_mbps = WIDE_SHARE * max(mbps_by_id.values())
+        mbps_by_id = {mate.id: mate.link_mbps for mate in hall_peers} | {self.own_id: self.own_mbps}
+        bar_mbps = WIDE_LINK_RATIO * max(mbps_by_id.values())
         wide = [box for box, mbps in mbps_by_id.items() if mbps >= bar_mbps]
         narrow = [box for box, mbps in mbps_by_id.items() if mbps < bar_mbps]
-        return rank(self.hall, wide) + rank(self.hall, narrow)
+        return rank_nodes(self.hall, wide) + rank_nodes(self.hall, narrow)
 
-    def _turned(self, relays: list[str]) -> list[str]:
+    def _rotated(self, relays: list[str]) -> list[str]:
         """The relays in this box's own order, so that each gets its share of the followers."""
-        turn = weight(self.hall, self.own_id) % len(relays)
+        turn = rendezvous_weight(self.hall, self.own_id) % len(relays)
         return relays[turn:] + relays[:turn]
 
 
-def _still(until_by_box: dict[str, float], now: float) -> dict[str, float]:
+def _unexpired(until_by_box: dict[str, float], now: float) -> dict[str, float]:
     """What is not over yet."""
     return {box: until for box, until in until_by_box.items() if until > now}
--- a/src/croftchute/systems/lent_share.py
+++ b/src/croftchute/systems/lent_share.py
@@ -12,9 +12,9 @@
 from dataclasses import dataclass, field
 
 from croftchute.systems.allowance_pool import LEASE_S
-from croftchute.systems.rendezvous import rank
+from croftchute.systems.rendezvous import rank_nodes
 
-GROUPS = 1
+GROUP_COUNT = 1
 """Groups of organisations, each with a pool of its own. More of them spread the askings over more
 boxes, and multiply the renewals: with four, 78 boxes sent more datagrams for them than notices."""
 
@@ -22,37 +22,37 @@
 """Seconds for which a pool that did not answer is not asked: a box that is gone stays known for a
 minute, and each asking in vain costs a request a quarter of a second."""
 
-SUSPECTED_YOUNG_S = 0.3
+STARTUP_SUSPECTED_S = 0.3
 """The same in the first seconds of a life: after a loss of all power the pool may be a box that
 starts more slowly than this one."""
 
-MIN_UNANSWERED = 3
+MIN_TIMEOUTS = 3
 """Askings in a row without an answer after which a pool is suspected: two may be lost."""
 
 MIN_SILENCE_S = 0.15
 """Seconds without an answer before a pool is suspected: many askings may be under way at once."""
 
 
-SETTLING_S = 1.2
+CONVERGENCE_S = 1.2
 """Seconds in which shares come together after a start or the end of a pool: a lease that must run
 out, and one more round of askings in part."""
 
-YOUNG_S = 3.0
+STARTUP_S = 3.0
 """Seconds of a life in which other boxes may still be starting too."""
 
 
 def group_of(organisation: str) -> int:
     """The group that an organisation belongs to.
 
-    >>> 0 <= group_of("crew") < GROUPS
+    >>> 0 <= group_of("crew") < GROUP_COUNT
     True
     """
-    return int(rank(organisation, GROUP_NAMES)[0])
+    return int(rank_nodes(organisation, GROUP_NAMES)[0])
 
 
-GROUP_NAMES = tuple(str(number) for number in range(GROUPS))
+GROUP_NAMES = tuple(str(number) for number in range(GROUP_COUNT))
 
-WORKERS_GROUP = GROUPS
+WORKERS_GROUP = GROUP_COUNT
 """The group of the limits that workers name, behind those of organisations. It has a pool of its
 own, whose leases are kept up only while some worker names a limit."""
 
@@ -86,7 +86,7 @@
     _lent_until: float = -math.inf
     _echo: float = 0.0
     _echo_heard_at: float = -math.inf
-    _unanswered: int = 0
+    _timeouts: int = 0
     _silence_noted_at: float = -math.inf
     _silent_since: float | None = None
     _suspected_until: dict[str, float] = field(default_factory=dict)
@@ -98,15 +98,15 @@
         if not self.pool or now >= self._lent_until:
             self.pool = wanted
             self._echo = 0.0
-            self._heard()
+            self._reset_silence()
 
-    def asked(self, boxes: Sequence[str], share: float, now: float) -> Lease:
+    def renew_lease(self, boxes: Sequence[str], share: float, now: float) -> Lease:
         """The pool to ask now, and what is lent to it with that."""
         wanted = self._best(boxes, now)
         self._choose(wanted, now)
         if wanted != self.pool:
             return Lease(pool=self._present_or(wanted, now), share=0.0, echo=0.0)
-        self._unanswered += 1
+        self._timeouts += 1
         if self._silent_since is None:
             self._silent_since = now
         # An echo that is older than a lease lends nothing, as after a time without any limits.
@@ -120,36 +120,36 @@
         return Lease(pool=self.pool, share=share, echo=echo, is_first=is_first)
 
     @property
-    def settles_at(self) -> float:
+    def converges_at(self) -> float:
         """When shares will have come together after a start, or after a pool fell silent."""
-        return max(self.started_at, self._silence_noted_at) + SETTLING_S
+        return max(self.started_at, self._silence_noted_at) + CONVERGENCE_S
 
     def is_lent(self, now: float) -> bool:
         """Whether the share is lent at the moment."""
         return now < self._lent_until
 
-    def answered(self, pool: str, stamp: float, now: float) -> None:
+    def note_reply(self, pool: str, stamp: float, now: float) -> None:
         """A pool answered; ``stamp`` is its clock."""
         self._suspected_until.pop(pool, None)
         if pool == self.pool:
             self._echo = max(self._echo, stamp)
             self._echo_heard_at = now
-            self._heard()
+            self._reset_silence()
 
-    def unanswered(self, pool: str, now: float) -> bool:
+    def note_timeout(self, pool: str, now: float) -> bool:
         """Nothing came for an asking; True if the pool is suspected from now on."""
         silent_since = self._silent_since
         if pool != self.pool or silent_since is None:
             return False
-        if self._unanswered < MIN_UNANSWERED or now - silent_since < MIN_SILENCE_S:
+        if self._timeouts < MIN_TIMEOUTS or now - silent_since < MIN_SILENCE_S:
             return False
         self._silence_noted_at = now
-        is_young = now - self.started_at < YOUNG_S
-        self._suspected_until[pool] = now + (SUSPECTED_YOUNG_S if is_young else SUSPECTED_S)
+        is_young = now - self.started_at < STARTUP_S
+        self._suspected_until[pool] = now + (STARTUP_SUSPECTED_S if is_young else SUSPECTED_S)
         return True
 
-    def _heard(self) -> None:
-        self._unanswered = 0
+    def _reset_silence(self) -> None:
+        self._timeouts = 0
         self._silent_since = None
 
     def _present_or(self, wanted: str, now: float) -> str:
@@ -158,7 +158,7 @@
 
     def _best(self, boxes: Sequence[str], now: float) -> str:
         sound = [box for box in boxes if not self._is_suspected(box, now)]
-        return rank(f"limits-{self.group}", {*sound, self.own_id})[0]
+        return rank_nodes(f"limits-{self.group}", {*sound, self.own_id})[0]
 
     def _is_suspected(self, box: str, now: float) -> bool:
         return self._suspected_until.get(box, 0.0) > now
--- a/src/croftchute/systems/owner.py
+++ b/src/croftchute/systems/owner.py
@@ -25,7 +25,7 @@
 from croftchute.systems.prefix_index import CacheEvent, PrefixIndex
 from croftchute.systems.pressure import Pressure
 from croftchute.systems.shard_digest import digest_of
-from croftchute.systems.strangers import Strangers
+from croftchute.systems.unknown_attempts import UnknownAttempts
 from croftchute.tables.requests import Reservation
 from croftchute.tables.upstreams import (
     EngineFact,
@@ -68,7 +68,7 @@
         self.indices_by_engine: dict[str, PrefixIndex] = {}
         self.forecasts_by_model: dict[str, OutputForecast] = {}
         self._facts_by_shard: dict[str, list[EngineFact]] = {}
-        self._strangers = Strangers()
+        self._unknown_attempts = UnknownAttempts()
         self._next_audit_at = 0.0
 
     def __repr__(self) -> str:
@@ -394,7 +394,7 @@
         """Cancel work that nobody answers for."""
         commands: list[Command] = []
         held = self.ledger.reservations_by_key
-        for key in self._strangers.overdue(engine_id, report, held, now):
+        for key in self._unknown_attempts.overdue(engine_id, report, held, now):
             event = Event(kind=Kind.ORPHAN_FOUND, upstream=engine_id, detail=key)
             commands.append(Emit(event=event))
             commands += self.cancels.add(engine_id, key, now)
--- a/src/croftchute/systems/peer_table.py
+++ b/src/croftchute/systems/peer_table.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 
 from croftchute.peers.messages import BoxNotice
-from croftchute.systems.hall_relays import LIVE_S
+from croftchute.systems.hall_relays import PEER_LIVE_S
 from croftchute.systems.prefill_pace import PrefillSample
 from croftchute.systems.prefill_queue import faded
 from croftchute.systems.room_forecast import RoomCounts
@@ -22,7 +22,7 @@
 FORGET_S = 60.0
 """Seconds after which a silent box is forgotten."""
 
-HALL_SILENT_S = 1.5
+HALL_TIMEOUT_S = 1.5
 """Seconds without a notice of any box of a hall after which it counts as cut off: of 26 boxes some
 three are heard a second, of two both twice a second."""
 
@@ -33,7 +33,7 @@
 """How many of these are in the box's own hall, if so many are: bytes between halls are dear, and
 boxes of a hall follow one another's news."""
 
-INTRODUCED = 4
+MAX_INTRODUCED_PEERS = 4
 """Addresses of other boxes in a notice: a new box knows all within a few."""
 
 MAX_PEERS = 1024
@@ -52,7 +52,7 @@
     _entries_by_worker: dict[str, dict[str, WorkerNotice]] = field(default_factory=dict)
     _id_by_address: dict[tuple[str, int], str] = field(default_factory=dict)
 
-    def hear(self, sender: str, notice: BoxNotice, now: float) -> bool:
+    def apply_notice(self, sender: str, notice: BoxNotice, now: float) -> bool:
         """Take in a notice; True if the sender was not known, or has been restarted."""
         if sender == self.own_id:
             return False
@@ -89,7 +89,7 @@
             self._drop_entries(self.peers_by_id.pop(peer_id))
         return old
 
-    def note_named(self, box: str, host: str, port: int) -> None:
+    def note_address(self, box: str, host: str, port: int) -> None:
         """Keep where a box takes notices that was not heard yet; the last one named."""
         self._named_by_id = {box: (host, port)}
 
@@ -121,25 +121,25 @@
         """Where the next notice goes: a bounded number of peers, and seeds while few answer."""
         peers = [peer for peer in self.peers_by_id.values() if now - peer.heard_at <= FORGET_S]
         if len(peers) > FANOUT:
-            peers = self._some_of(peers, rng)
+            peers = self._sample_peers(peers, rng)
         chosen = [(peer.host, peer.notice_port) for peer in peers]
         if self.fresh_boxes(now) < len(self.seeds):
             chosen += [seed for seed in self.seeds if seed not in chosen]
         return chosen
 
-    def _some_of(self, peers: list[Peer], rng: random.Random) -> list[Peer]:
+    def _sample_peers(self, peers: list[Peer], rng: random.Random) -> list[Peer]:
         """As many as a notice goes to, most of them of the own hall."""
         near = [peer for peer in peers if peer.hall == self.hall]
         far = [peer for peer in peers if peer.hall != self.hall]
         near_count = min(len(near), max(HALL_FANOUT, FANOUT - len(far)))
         return rng.sample(near, near_count) + rng.sample(far, FANOUT - near_count)
 
-    def hall_mates(self, hall: str, now: float) -> list[Peer]:
+    def hall_peers(self, hall: str, now: float) -> list[Peer]:
         """The other boxes of a hall that live and are not leaving."""
         return [
             peer
             for peer in self.peers_by_id.values()
-            if peer.hall == hall and not peer.is_leaving and now - peer.heard_at <= LIVE_S
+            if peer.hall == hall and not peer.is_leaving and now - peer.heard_at <= PEER_LIVE_S
         ]
 
     def reachable(self, now: float) -> list[str]:
@@ -156,7 +156,7 @@
             for peer in self.peers_by_id.values()
             if not peer.is_leaving
             and now - peer.heard_at <= FORGET_S
-            and now - heard_at_by_hall[peer.hall] <= HALL_SILENT_S
+            and now - heard_at_by_hall[peer.hall] <= HALL_TIMEOUT_S
         ]
 
     def introduced(self, now: float, rng: random.Random) -> tuple[str, ...]:
@@ -166,7 +166,9 @@
             for peer in self.peers_by_id.values()
             if now - peer.heard_at <= FRESH_S
         ]
-        return tuple(live if len(live) <= INTRODUCED else rng.sample(live, INTRODUCED))
+        return tuple(
+            live if len(live) <= MAX_INTRODUCED_PEERS else rng.sample(live, MAX_INTRODUCED_PEERS)
+        )
 
     @property
     def known_boxes(self) -> int:
@@ -268,14 +270,14 @@
         if not live:
             return None, None
         by_config = max(
-            live, key=lambda peer: (peer.config_version, *self._ease(peer), rng.random())
+            live, key=lambda peer: (peer.config_version, *self._preference(peer), rng.random())
         )
         by_workers = max(
-            live, key=lambda peer: (peer.workers_revision, *self._ease(peer), rng.random())
+            live, key=lambda peer: (peer.workers_revision, *self._preference(peer), rng.random())
         )
         return by_config, by_workers
 
-    def _ease(self, peer: Peer) -> tuple[bool, bool]:
+    def _preference(self, peer: Peer) -> tuple[bool, bool]:
         return not peer.is_leaving, peer.hall == self.hall
 
     def _entries(self, worker_id: str, now: float) -> list[tuple[WorkerNotice, float]]:
--- a/src/croftchute/systems/predicted_end.py
+++ b/src/croftchute/systems/predicted_end.py
@@ -18,9 +18,9 @@
     FAILURE_COST,
     MAX_PEER_FAILURES,
     PEER_FAILURE_COST,
-    TYPICAL_TOKENS,
-    Surroundings,
-    others_at,
+    TYPICAL_DECODE_TOKENS,
+    ChoiceContext,
+    other_boxes_load,
 )
 from croftchute.tables.paces import PaceEstimate, PredictedEnd
 
@@ -78,30 +78,35 @@
     at: float = 0.0
 
 
-def failure_cost(tracked: TrackedWorker, around: Surroundings, now: float) -> float:
+def failure_cost(tracked: TrackedWorker, context: ChoiceContext, now: float) -> float:
     """What is held against a worker here and at peers, in full workers as in choices by cost."""
-    told = min(MAX_PEER_FAILURES, around.peers.failures(tracked.worker.id, now))
+    told = min(MAX_PEER_FAILURES, context.peers.failures(tracked.worker.id, now))
     return FAILURE_COST * tracked.failure_score(now) + PEER_FAILURE_COST * told
 
 
-def is_doubtful(tracked: TrackedWorker, around: Surroundings, now: float) -> bool:
+def is_doubtful(tracked: TrackedWorker, context: ChoiceContext, now: float) -> bool:
     """Whether enough is held against a worker that others are tried first."""
-    return failure_cost(tracked, around, now) >= DOUBTFUL_FAILURES
+    return failure_cost(tracked, context, now) >= DOUBTFUL_FAILURES
 
 
 def plain_end(
-    tracked: TrackedWorker, *, usual_s: float, around: Surroundings, pace: PaceEstimate, now: float
+    tracked: TrackedWorker,
+    *,
+    usual_s: float,
+    context: ChoiceContext,
+    pace: PaceEstimate,
+    now: float,
 ) -> PredictedEnd:
     """The end of a request at a plain worker; ``usual_s`` is the usual time of an answer."""
     slots = max(1, tracked.worker.slots)
-    known = tracked.in_flight + others_at(tracked, around, now)
+    known = tracked.in_flight + other_boxes_load(tracked, context, now)
     ahead = max(0.0, known + 1 - slots)
     return PredictedEnd(
         wait_s=ahead * usual_s / slots * pace.factor,
         work_s=usual_s * pace.factor,
-        overdue_s=max(0.0, tracked.oldest_call_s(now) - OVERDUE_MULTIPLE * usual_s),
-        far_s=_far_s(tracked, around),
-        failure_s=usual_s * failure_cost(tracked, around, now),
+        overdue_s=max(0.0, tracked.oldest_call_age_s(now) - OVERDUE_MULTIPLE * usual_s),
+        far_s=_far_s(tracked, context),
+        failure_s=usual_s * failure_cost(tracked, context, now),
         pace=pace.factor,
         pace_source=pace.source,
         pace_age_s=pace.age_s,
@@ -114,7 +119,7 @@
     usual: UsualTimes,
     target_s: float,
     target_gap_s: float,
-    around: Surroundings,
+    context: ChoiceContext,
     pace: PaceEstimate,
     now: float,
 ) -> PredictedEnd:
@@ -124,17 +129,17 @@
     likely full refuses the hold, and a request asks several for one.
     """
     stream_s = usual.stream_s or DEFAULT_STREAM_S
-    elsewhere = others_at(tracked, around, now)
+    elsewhere = other_boxes_load(tracked, context, now)
     load = (tracked.in_flight + elsewhere) / max(1, tracked.worker.slots)
-    if around.kv_tokens > 0:
-        load += (tracked.tokens_in_flight + elsewhere * TYPICAL_TOKENS) / around.kv_tokens
+    if context.kv_tokens > 0:
+        load += (tracked.tokens_in_flight + elsewhere * TYPICAL_DECODE_TOKENS) / context.kv_tokens
     pauses_too_long = 0.0 < target_gap_s < usual.pause_s * pace.factor
     return PredictedEnd(
         wait_s=load * stream_s * pace.factor,
         work_s=stream_s * pace.factor,
         gap_s=target_s if pauses_too_long else 0.0,
-        far_s=_far_s(tracked, around),
-        failure_s=stream_s * failure_cost(tracked, around, now),
+        far_s=_far_s(tracked, context),
+        failure_s=stream_s * failure_cost(tracked, context, now),
         pace=pace.factor,
         pace_source=pace.source,
         pace_age_s=pace.age_s,
@@ -148,7 +153,7 @@
     usual: UsualTimes,
     reading: PrefillPace,
     told_wait_s: float,
-    around: Surroundings,
+    context: ChoiceContext,
     pace: PaceEstimate,
     now: float,
 ) -> PredictedEnd:
@@ -158,7 +163,7 @@
     nothing lately, what calls waited counts if it is more: ``told_wait_s``, here and at peers.
     """
     own = len(tracked.queue.open_by_request)
-    prompts = own + tracked.others_running(now)
+    prompts = own + tracked.other_boxes_running(now)
     wait_s = prompts * usual.prompt_s * pace.factor
     if now - tracked.load_at > LOAD_TTL_S:
         wait_s = max(wait_s, told_wait_s, tracked.queue.seen_wait_left_s(now))
@@ -168,16 +173,16 @@
         wait_s=wait_s,
         work_s=work_s * pace.factor,
         overdue_s=tracked.queue.overdue_s(pace=reading, now=now),
-        far_s=_far_s(tracked, around),
-        failure_s=failed_s * failure_cost(tracked, around, now),
+        far_s=_far_s(tracked, context),
+        failure_s=failed_s * failure_cost(tracked, context, now),
         pace=pace.factor,
         pace_source=pace.source,
         pace_age_s=pace.age_s,
     )
 
 
-def _far_s(tracked: TrackedWorker, around: Surroundings) -> float:
-    return FAR_S if tracked.worker.zone != around.zone else 0.0
+def _far_s(tracked: TrackedWorker, context: ChoiceContext) -> float:
+    return FAR_S if tracked.worker.zone != context.zone else 0.0
 
 
 def draw(
@@ -197,10 +202,10 @@
 
 
 def without_doubtful(
-    candidates: Sequence[TrackedWorker], *, around: Surroundings, now: float, least: int
+    candidates: Sequence[TrackedWorker], *, context: ChoiceContext, now: float, least: int
 ) -> list[TrackedWorker]:
     """Candidates against which little is held; all of them if fewer than ``least`` are left."""
-    sound = [b for b in candidates if not is_doubtful(b, around, now)]
+    sound = [b for b in candidates if not is_doubtful(b, context, now)]
     return sound if len(sound) >= least else list(candidates)
 
 
--- a/src/croftchute/systems/usage_purse.py
+++ b/src/croftchute/systems/prefetched_usage.py
@@ -6,13 +6,13 @@
 from collections import deque
 from dataclasses import dataclass, field
 
-LAPSE_S = 1.0
+LOT_TTL_S = 1.0
 """Seconds for which units given ahead may be used: later they could fall into another window."""
 
-AHEAD_S = 0.25
+PREFETCH_S = 0.25
 """Seconds of an organisation's present use that a box asks for ahead, so that askings get fewer."""
 
-MIN_AHEAD_RATE = 4.0
+MIN_PREFETCH_RATE_PER_S = 4.0
 """Requests a second and box from which on units are asked for ahead; below, most would lapse."""
 
 USE_TAU_S = 1.0
@@ -23,18 +23,18 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class UsageLot:
+class UnitLot:
     """Units that were given together."""
 
     units: float
-    lapses_at: float
+    expires_at: float
 
 
 @dataclass(kw_only=True, slots=True)
-class UsagePurse:
+class PrefetchedUsage:
     """Units at hand, and the use of late: units and requests a second."""
 
-    lots: deque[UsageLot] = field(default_factory=deque)
+    lots: deque[UnitLot] = field(default_factory=deque)
     units_per_s: float = 0.0
     requests_per_s: float = 0.0
     used_at: float = -math.inf
@@ -46,41 +46,41 @@
         self.requests_per_s = self.requests_per_s * kept + 1.0 / USE_TAU_S
         self.used_at = now
 
-    def wanted_ahead(self, units: float, now: float) -> float:
+    def units_to_prefetch(self, units: float, now: float) -> float:
         """What to ask for beside a request's own units."""
-        if self.requests_per_s < MIN_AHEAD_RATE:
+        if self.requests_per_s < MIN_PREFETCH_RATE_PER_S:
             return 0.0
-        return max(0.0, self.units_per_s * AHEAD_S - units)
+        return max(0.0, self.units_per_s * PREFETCH_S - units)
 
     def put(self, units: float, now: float) -> None:
         """Keep units that were given ahead."""
         if units > 0.0:
-            self.lots.append(UsageLot(units=units, lapses_at=now + LAPSE_S))
+            self.lots.append(UnitLot(units=units, expires_at=now + LOT_TTL_S))
 
-    def take(self, units: float, now: float) -> tuple[UsageLot, ...]:
+    def take(self, units: float, now: float) -> tuple[UnitLot, ...]:
         """Take units out, the oldest first: as many as there are and have not lapsed.
 
-        >>> purse = UsagePurse()
-        >>> purse.put(5.0, now=0.0)
-        >>> [lot.units for lot in purse.take(3.0, now=0.5)]
+        >>> prefetched = PrefetchedUsage()
+        >>> prefetched.put(5.0, now=0.0)
+        >>> [lot.units for lot in prefetched.take(3.0, now=0.5)]
         [3.0]
-        >>> [lot.units for lot in purse.take(3.0, now=0.5)], purse.take(1.0, now=0.5)
+        >>> [lot.units for lot in prefetched.take(3.0, now=0.5)], prefetched.take(1.0, now=0.5)
         ([2.0], ())
         """
         taken = []
         while units > 0.0 and self.lots:
             lot = self.lots.popleft()
-            if lot.lapses_at <= now:
+            if lot.expires_at <= now:
                 continue
             used = min(lot.units, units)
-            taken.append(UsageLot(units=used, lapses_at=lot.lapses_at))
+            taken.append(UnitLot(units=used, expires_at=lot.expires_at))
             if lot.units > used:
-                rest = UsageLot(units=lot.units - used, lapses_at=lot.lapses_at)
+                rest = UnitLot(units=lot.units - used, expires_at=lot.expires_at)
                 self.lots.appendleft(rest)
             units -= used
         return tuple(taken)
 
-    def restore(self, lots: tuple[UsageLot, ...]) -> None:
+    def restore(self, lots: tuple[UnitLot, ...]) -> None:
         """Put back what was taken and not used; it lapses as before."""
         self.lots.extendleft(reversed(lots))
 
--- a/src/croftchute/systems/rendezvous.py
+++ b/src/croftchute/systems/rendezvous.py
@@ -7,15 +7,15 @@
 import xxhash
 
 
-def weight(key: str, place: str) -> int:
+def rendezvous_weight(key: str, place: str) -> int:
     """The rendezvous weight of a key at a place."""
     return int(xxhash.xxh3_64_intdigest(f"{key}|{place}".encode()))
 
 
-def rank(key: str, places: Iterable[str]) -> list[str]:
+def rank_nodes(key: str, places: Iterable[str]) -> list[str]:
     """Places for a key, best first.
 
-    >>> rank("key", ["a", "b", "c"]) == rank("key", ["c", "a", "b"])
+    >>> rank_nodes("key", ["a", "b", "c"]) == rank_nodes("key", ["c", "a", "b"])
     True
     """
-    return sorted(places, key=lambda place: (weight(key, place), place), reverse=True)
+    return sorted(places, key=lambda place: (rendezvous_weight(key, place), place), reverse=True)
--- a/src/croftchute/systems/retry_budget.py
+++ b/src/croftchute/systems/retry_budget.py
@@ -5,7 +5,7 @@
 from collections import deque
 from dataclasses import dataclass, field
 
-SAFETY = 0.7
+SAFETY_FACTOR = 0.7
 """Share of the budget that is used: boxes count each other late, and windows slide."""
 
 
@@ -30,7 +30,7 @@
         """How many repeats this box may have sent in the window that ends now."""
         self._expire(now)
         share = self.limits.slack / max(1, boxes)
-        return SAFETY * (self.limits.ratio * len(self.request_times) + share)
+        return SAFETY_FACTOR * (self.limits.ratio * len(self.request_times) + share)
 
     def note_request(self, now: float) -> None:
         """Count a caller's request."""
--- a/src/croftchute/systems/sharding.py
+++ b/src/croftchute/systems/sharding.py
@@ -10,7 +10,7 @@
 from math import ceil
 
 from croftchute.config.documents import Document, EngineSpec, PoolSpec, Role, UpstreamState
-from croftchute.systems.rendezvous import rank
+from croftchute.systems.rendezvous import rank_nodes
 from croftchute.tables.upstreams import EngineFact, ModelFact, Shard, Topology, engine_hash
 
 
@@ -26,7 +26,7 @@
     taken = dict.fromkeys(places, 0)
     place_by_key: dict[str, str] = {}
     for key in sorted(keys):
-        place = next(place for place in rank(key, places) if taken[place] < room)
+        place = next(place for place in rank_nodes(key, places) if taken[place] < room)
         taken[place] += 1
         place_by_key[key] = place
     return place_by_key
--- a/src/croftchute/systems/size_lanes.py
+++ b/src/croftchute/systems/size_lanes.py
@@ -11,7 +11,7 @@
 from collections.abc import Collection, Sequence
 from enum import StrEnum
 
-from croftchute.systems.rendezvous import weight
+from croftchute.systems.rendezvous import rendezvous_weight
 from croftchute.systems.stage_balance import DemandCounts
 from croftchute.systems.tracked_worker import TrackedWorker
 
@@ -90,7 +90,7 @@
     size = int(share * len(candidates) + 0.5)
     if not 0 < size < len(candidates):
         return list(candidates)
-    ranked = sorted(candidates, key=lambda tracked: weight(LANE_KEY, tracked.worker.id))
+    ranked = sorted(candidates, key=lambda tracked: rendezvous_weight(LANE_KEY, tracked.worker.id))
     lane, rest = ranked[:size], ranked[size:]
     if not is_large_request:
         return rest
--- a/src/croftchute/systems/tracked_worker.py
+++ b/src/croftchute/systems/tracked_worker.py
@@ -12,7 +12,7 @@
 from croftchute.systems.prefill_queue import PrefillQueue
 from croftchute.tables.routing import Stage, Worker
 
-REJECTED_LATELY_S = 3.0
+REJECTION_HOLD_S = 3.0
 """Seconds after a rejection for which a worker counts as full: then it resets new connections too.
 A request that may be sent once is kept away from it for that."""
 
@@ -39,7 +39,7 @@
     listed_at: float
     item: StoredItem | None = None
     gone_at: float | None = None
-    has_lapsed: bool = False
+    is_mass_expired: bool = False
     in_flight: int = 0
     tokens_in_flight: int = 0
     failures: float = 0.0
@@ -62,30 +62,30 @@
     queue: PrefillQueue = field(default_factory=PrefillQueue)
     sent_at_by_call: dict[object, float] = field(default_factory=dict)
 
-    def has_rejected_lately(self, now: float) -> bool:
+    def has_rejected_recently(self, now: float) -> bool:
         """Whether it seems full."""
-        return now - self.rejected_at < REJECTED_LATELY_S
+        return now - self.rejected_at < REJECTION_HOLD_S
 
     def failure_score(self, now: float) -> float:
         """Recent failures, each counting half as much after every half-life."""
         age = max(0.0, now - self.failed_at)
         return self.failures * 0.5 ** (age / FAILURE_HALF_LIFE_S)
 
-    def oldest_call_s(self, now: float) -> float:
+    def oldest_call_age_s(self, now: float) -> float:
         """For how long this box's oldest open call there has been open; 0 if there is none."""
         return now - min(self.sent_at_by_call.values(), default=now)
 
-    def fits(self, stage: Stage | None, now: float) -> bool:
+    def can_serve(self, stage: Stage | None, now: float) -> bool:
         """Whether it does work of a stage at the moment, so far as its list entry goes."""
         if self.displaced or self.has_ended or self.is_unreadable or now < self.changing_until:
             return False
         return stage is None or self.worker.stage is None or self.worker.stage is stage
 
-    def grace_s(self, lapsed_grace_s: float) -> float:
+    def grace_s(self, mass_expiry_grace_s: float) -> float:
         """How long after its entry went the worker may still be given work."""
-        return lapsed_grace_s if self.has_lapsed else GONE_GRACE_S
+        return mass_expiry_grace_s if self.is_mass_expired else GONE_GRACE_S
 
-    def others_running(self, now: float) -> float:
+    def other_boxes_running(self, now: float) -> float:
         """Requests of other boxes that the worker was running or queueing lately."""
         if now - self.load_at > LOAD_TTL_S:
             return 0.0
--- a/src/croftchute/systems/strangers.py
+++ b/src/croftchute/systems/unknown_attempts.py
@@ -6,10 +6,10 @@
 
 from croftchute.tables.upstreams import EngineReport
 
-GRACE_S = 2.0
+UNKNOWN_GRACE_S = 2.0
 
 
-class Strangers:
+class UnknownAttempts:
     """When each unknown attempt was first seen, by engine and attempt.
 
     An attempt may be unknown for a moment after its shard has changed owners, until its entry box
@@ -26,4 +26,4 @@
         before = self._seen_by_engine.get(engine_id, {})
         seen = {key: before.get(key, now) for key in report.request_ids if key not in known}
         self._seen_by_engine[engine_id] = seen
-        return [key for key, since in seen.items() if report.as_of - since > GRACE_S]
+        return [key for key, since in seen.items() if report.as_of - since > UNKNOWN_GRACE_S]
--- a/src/croftchute/systems/usage_bucket.py
+++ b/src/croftchute/systems/usage_bucket.py
@@ -6,16 +6,16 @@
 
 from croftchute.tables.organisations import UsageLimit
 
-SLACK_USED = 0.5
+SAVED_EXCESS_RATIO = 0.5
 """Share of the allowed excess that buckets may save up beside the burst. The rest covers what is
 used later than it was given, and boxes that count each other late."""
 
 
-START_CREDIT = 0.2
+START_CREDIT_RATIO = 0.2
 """Share of the allowed excess that a box's share brings along once in each life of the box. A pool
 that begins with nothing refuses an organisation for as long as one request takes to save up, after
-each start of a fleet. Beside ``SLACK_USED`` two starts of all boxes within one window fit; a third
-takes them longer than what is saved meanwhile."""
+each start of a fleet. Beside ``SAVED_EXCESS_RATIO`` two starts of all boxes within one window fit;
+a third takes them longer than what is saved meanwhile."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
@@ -53,7 +53,7 @@
 
     def start_credit(self, limit: UsageLimit) -> float:
         """What a pool has at once of a share whose box was just started; a whole limit's."""
-        return START_CREDIT * self.excess(limit)
+        return START_CREDIT_RATIO * self.excess(limit)
 
     def capacity(self, limit: UsageLimit) -> float:
         """What may be saved up: the burst, and a part of the allowed excess.
@@ -63,7 +63,7 @@
         ... )
         275.0
         """
-        return limit.burst + SLACK_USED * self.excess(limit)
+        return limit.burst + SAVED_EXCESS_RATIO * self.excess(limit)
 
 
 @dataclass(kw_only=True, slots=True)
--- a/src/croftchute/systems/worker_wishes.py
+++ b/src/croftchute/systems/worker_advice.py
@@ -9,20 +9,20 @@
 from collections.abc import Container
 from dataclasses import dataclass, field
 
-LEAVING_KEPT_S = 600.0
+LEAVING_TTL_S = 600.0
 """Seconds for which it is remembered that a worker leaves that is not listed: its entry may come
 back, from a copy of the store or after an outage, while it serves its last requests."""
 
-MAX_KEPT = 4096
+MAX_LEAVING_WORKERS = 4096
 """Most lives of which a wish is kept: nearly twice the workers that docs/CAPACITY.md works out."""
 
-LAST_RESORTS = 1
+MAX_REQUESTS_IN_BACKOFF = 1
 """Requests that a worker gets while it rests, if nothing else can serve them. Two are allowed; the
 other is left for one that was under way when the worker asked for rest and is held up on a link."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class WorkerWish:
+class WorkerAdvice:
     """What one answer says that its worker wants.
 
     ``is_leaving``: it takes no new work until its end. ``rest_s``: it wants nothing from this box
@@ -37,11 +37,11 @@
     has_odd_limit: bool = False
 
 
-NO_WISH = WorkerWish()
+NO_ADVICE = WorkerAdvice()
 
 
 @dataclass(kw_only=True, slots=True)
-class _Rest:
+class _Backoff:
     """A rest that goes on until ``until``, and what was sent there meanwhile."""
 
     until: float
@@ -57,11 +57,11 @@
 
 
 @dataclass(kw_only=True)
-class WorkerWishes:
+class WorkerAdviceTable:
     """The wishes of all lives of workers that told one; ``leaving_by_id`` in the order of news."""
 
     leaving_by_id: dict[str, _Leaving] = field(default_factory=dict)
-    _rests_by_id: dict[str, _Rest] = field(default_factory=dict)
+    _backoffs_by_id: dict[str, _Backoff] = field(default_factory=dict)
 
     def note_leaving(self, worker_id: str, now: float, *, known_for_s: float = 0.0) -> bool:
         """A worker leaves; True if that is news. A life that leaves never takes that back.
@@ -70,67 +70,71 @@
         """
         if worker_id in self.leaving_by_id:
             return False
-        if len(self.leaving_by_id) >= MAX_KEPT:
+        if len(self.leaving_by_id) >= MAX_LEAVING_WORKERS:
             del self.leaving_by_id[next(iter(self.leaving_by_id))]
         self.leaving_by_id[worker_id] = _Leaving(since=now - known_for_s, heard_at=now)
         return True
 
-    def note_rest(self, worker_id: str, rest_s: float, now: float) -> None:
+    def note_backoff(self, worker_id: str, rest_s: float, now: float) -> None:
         """A worker wants nothing for a while; the later end counts if it asked before.
 
         What was sent during the rest that it asked for before still counts against this one.
         """
-        rest = self._rests_by_id.get(worker_id)
-        if rest is None or rest.until <= now:
-            self._rests_by_id[worker_id] = _Rest(until=now + rest_s)
-            self._forget_rests(now)
+        backoff = self._backoffs_by_id.get(worker_id)
+        if backoff is None or backoff.until <= now:
+            self._backoffs_by_id[worker_id] = _Backoff(until=now + rest_s)
+            self._drop_expired_backoffs(now)
             return
-        rest.until = max(rest.until, now + rest_s)
+        backoff.until = max(backoff.until, now + rest_s)
 
     def note_sent(self, worker_id: str, now: float) -> None:
         """Something is sent to a worker; it counts if the worker rests."""
-        rest = self._rests_by_id.get(worker_id)
-        if rest is not None and now < rest.until:
-            rest.sent += 1
+        backoff = self._backoffs_by_id.get(worker_id)
+        if backoff is not None and now < backoff.until:
+            backoff.sent += 1
 
     def is_leaving(self, worker_id: str) -> bool:
         """Whether a worker said that it leaves."""
         return worker_id in self.leaving_by_id
 
-    def resting(self, now: float) -> set[str]:
+    def in_backoff(self, now: float) -> set[str]:
         """The workers that rest; mostly none, and looked at for each choice of a worker."""
-        if not self._rests_by_id:
+        if not self._backoffs_by_id:
             return set()
-        return {worker_id for worker_id, rest in self._rests_by_id.items() if now < rest.until}
+        return {
+            worker_id for worker_id, backoff in self._backoffs_by_id.items() if now < backoff.until
+        }
 
-    def rest_left_s(self, worker_id: str, now: float) -> float:
+    def backoff_left_s(self, worker_id: str, now: float) -> float:
         """For how long a worker still wants nothing from this box; 0 if it takes work."""
-        rest = self._rests_by_id.get(worker_id)
-        return 0.0 if rest is None else max(0.0, rest.until - now)
+        backoff = self._backoffs_by_id.get(worker_id)
+        return 0.0 if backoff is None else max(0.0, backoff.until - now)
 
-    def told_by(self, worker_id: str, now: float) -> str:
+    def active_advice(self, worker_id: str, now: float) -> str:
         """What a worker wants at the moment, for logs; empty if it told no wish."""
         if self.is_leaving(worker_id):
             return "leaving"
-        return "rest" if self.rest_left_s(worker_id, now) > 0.0 else ""
+        return "rest" if self.backoff_left_s(worker_id, now) > 0.0 else ""
 
-    def may_be_last_resort(self, worker_id: str, now: float) -> bool:
+    def may_send_in_backoff(self, worker_id: str, now: float) -> bool:
         """Whether a resting worker may get a request that nothing else can serve."""
-        rest = self._rests_by_id.get(worker_id)
-        return rest is None or now >= rest.until or rest.sent < LAST_RESORTS
+        backoff = self._backoffs_by_id.get(worker_id)
+        return backoff is None or now >= backoff.until or backoff.sent < MAX_REQUESTS_IN_BACKOFF
 
     def sweep(self, now: float, *, listed: Container[str]) -> None:
         """Forget rests that are over, and wishes of workers that have long been gone."""
-        self._forget_rests(now)
+        self._drop_expired_backoffs(now)
         old = [
             worker_id
             for worker_id, leaving in self.leaving_by_id.items()
-            if worker_id not in listed and now - leaving.heard_at > LEAVING_KEPT_S
+            if worker_id not in listed and now - leaving.heard_at > LEAVING_TTL_S
         ]
         for worker_id in old:
             del self.leaving_by_id[worker_id]
 
-    def _forget_rests(self, now: float) -> None:
-        over = [worker_id for worker_id, rest in self._rests_by_id.items() if rest.until <= now]
+    def _drop_expired_backoffs(self, now: float) -> None:
+        over = [
+            worker_id for worker_id, backoff in self._backoffs_by_id.items() if backoff.until <= now
+        ]
         for worker_id in over:
-            del self._rests_by_id[worker_id]
+            del self._backoffs_by_id[worker_id]
--- a/src/croftchute/systems/worker_table.py
+++ b/src/croftchute/systems/worker_table.py
@@ -13,33 +13,33 @@
 
 from croftchute.storage.watched import StoredItem
 from croftchute.systems.tracked_worker import GONE_GRACE_S, TrackedWorker
+from croftchute.systems.worker_advice import WorkerAdviceTable
 from croftchute.systems.worker_limits import WorkerLimits
-from croftchute.systems.worker_wishes import WorkerWishes
 from croftchute.tables.routing import Stage, Worker, WorkerState
 
-LATENCY_WEIGHT = 0.3
+LATENCY_EWMA_WEIGHT = 0.3
 """Weight of the newest answer in a worker's usual time: some answers make it."""
 
-PAUSE_WEIGHT = 0.1
+GAP_EWMA_WEIGHT = 0.1
 """Weight of the newest pause between a stream's parts in a worker's usual one: some ten make it."""
 
-MAX_FAILURES = 8.0
+MAX_FAILURE_SCORE = 8.0
 """Highest failure score: it is under a tenth after four half-lives."""
 
-LAPSED_GRACE_S = 2.0
+MASS_EXPIRY_GRACE_S = 2.0
 """Seconds for which workers whose entries lapsed together are used: the living are back by then."""
 
-LAPSED_SHARE = 0.5
+MASS_EXPIRY_RATIO = 0.5
 """Share of a service's entries that must go at once to count as lapsed."""
 
-MIN_LAPSED = 2
+MIN_MASS_EXPIRY = 2
 """Fewest entries that count as lapsed: one that goes alone has left."""
 
-CHANGE_KNOWN_S = 15.0
+STAGE_CHANGE_DEDUP_S = 15.0
 """Seconds after which a worker's change to the same stage would be another one: an order that is
 carried out is over within ten."""
 
-MOST_REQUESTS = 1_000_000
+MAX_REPORTED_REQUESTS = 1_000_000
 """Most requests running or waiting that a worker is believed to have: more is no load."""
 
 UNREACHABLE_S = 1.5
@@ -48,31 +48,32 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class _Standings:
+class _WorkersByAvailability:
     """The workers of a service by how they may be used: at will, as a last resort, or not now.
 
-    Of those that are ``closed`` a limit that they name for all boxes is reached.
+    Of those that are ``at_limit`` a limit that they name for all boxes is reached.
     """
 
     listed: list[TrackedWorker] = field(default_factory=list)
     last_resorts: list[TrackedWorker] = field(default_factory=list)
-    resting: list[TrackedWorker] = field(default_factory=list)
-    closed: list[TrackedWorker] = field(default_factory=list)
+    in_backoff: list[TrackedWorker] = field(default_factory=list)
+    at_limit: list[TrackedWorker] = field(default_factory=list)
 
 
 @dataclass(kw_only=True)
 class WorkerTable:
     """All lives of workers by id; ``revision`` is the store's revision of the newest change.
 
-    ``lapsed_grace_s`` is for how long workers are used whose entries lapsed together, as they do
-    when the store was away: those that live write themselves down again within about two seconds.
+    ``mass_expiry_grace_s`` is for how long workers are used whose entries lapsed together, as they
+    do when the store was away: those that live write themselves down again within about two
+    seconds.
     """
 
     revision: int = 0
     heard_at: float = 0.0
-    lapsed_grace_s: float = LAPSED_GRACE_S
+    mass_expiry_grace_s: float = MASS_EXPIRY_GRACE_S
     tracked_by_id: dict[str, TrackedWorker] = field(default_factory=dict)
-    wishes: WorkerWishes = field(default_factory=WorkerWishes)
+    advice: WorkerAdviceTable = field(default_factory=WorkerAdviceTable)
     limits: WorkerLimits = field(default_factory=WorkerLimits)
     _tracked_by_service: dict[str, dict[str, TrackedWorker]] = field(default_factory=dict)
     _current_by_name: dict[str, TrackedWorker] = field(default_factory=dict)
@@ -88,7 +89,7 @@
             return False
         if worker.state is WorkerState.DRAINING:
             # Since when is not told: as a last resort it could get work too late.
-            self.wishes.note_leaving(worker.id, now, known_for_s=math.inf)
+            self.advice.note_leaving(worker.id, now, known_for_s=math.inf)
         if current is not None and current.worker.id != worker.id:
             self._end_life(current, now)
         tracked = self.tracked_by_id.get(worker.id)
@@ -111,7 +112,7 @@
         tracked.gone_at = None
         tracked.has_ended = False
         tracked.is_unreadable = False
-        tracked.has_lapsed = False
+        tracked.is_mass_expired = False
         if is_changed and tracked.displaced:
             tracked.displaced = False
             tracked.failures = 0.0
@@ -135,34 +136,38 @@
         ended, self._ended = self._ended, []
         return ended
 
-    def remove(self, names: Collection[str], now: float, *, is_lapse: bool = False) -> list[str]:
+    def remove(
+        self, names: Collection[str], now: float, *, is_mass_expiry: bool = False
+    ) -> list[str]:
         """Mark workers as gone from the list; they are forgotten after a grace period.
 
         Entries of half of a service that go at once have lapsed, rather than been taken away, and
-        so have all with ``is_lapse``. Returns the ids of the lives that are gone.
+        so have all with ``is_mass_expiry``. Returns the ids of the lives that are gone.
         """
         known = (self._current_by_name.get(name) for name in names)
         gone = [tracked for tracked in known if tracked is not None and tracked.gone_at is None]
         gone_by_service = Counter(tracked.worker.service for tracked in gone)
-        lapsed = {service for service, n in gone_by_service.items() if self._is_lapse(service, n)}
+        lapsed = {
+            service for service, n in gone_by_service.items() if self._is_mass_expiry(service, n)
+        }
         for tracked in gone:
             tracked.gone_at = now
-            tracked.has_lapsed = is_lapse or tracked.worker.service in lapsed
+            tracked.is_mass_expired = is_mass_expiry or tracked.worker.service in lapsed
         return [tracked.worker.id for tracked in gone]
 
-    def keep_only(self, names: set[str], now: float, *, is_lapse: bool = False) -> list[str]:
+    def keep_only(self, names: set[str], now: float, *, is_mass_expiry: bool = False) -> list[str]:
         """Mark all workers as gone that a whole listing did not name; returns those.
 
-        ``is_lapse``: the store came back from an older copy, so those that live write themselves
-        down again.
+        ``is_mass_expiry``: the store came back from an older copy, so those that live write
+        themselves down again.
         """
         unnamed = [name for name in self._current_by_name if name not in names]
-        return self.remove(unnamed, now, is_lapse=is_lapse)
+        return self.remove(unnamed, now, is_mass_expiry=is_mass_expiry)
 
-    def has_lapsed(self, worker_id: str) -> bool:
+    def is_mass_expired(self, worker_id: str) -> bool:
         """Whether a worker's entry went together with those of others of its service."""
         tracked = self.tracked_by_id.get(worker_id)
-        return tracked is not None and tracked.has_lapsed
+        return tracked is not None and tracked.is_mass_expired
 
     def sweep(self, now: float) -> list[str]:
         """Forget workers that left the list some time ago and run nothing of ours."""
@@ -170,7 +175,7 @@
             worker_id
             for worker_id, tracked in self.tracked_by_id.items()
             if tracked.gone_at is not None
-            and now - tracked.gone_at > tracked.grace_s(self.lapsed_grace_s)
+            and now - tracked.gone_at > tracked.grace_s(self.mass_expiry_grace_s)
             and tracked.in_flight == 0
         ]
         for worker_id in old:
@@ -178,7 +183,7 @@
             del self._tracked_by_service[tracked.worker.service][worker_id]
             if self._current_by_name.get(tracked.worker.list_name) is tracked:
                 del self._current_by_name[tracked.worker.list_name]
-        self.wishes.sweep(now, listed=self.tracked_by_id)
+        self.advice.sweep(now, listed=self.tracked_by_id)
         return old
 
     def usable(
@@ -189,51 +194,53 @@
         Workers whose entries lapsed count like listed ones: all boxes would otherwise turn to the
         first that writes itself down again.
         """
-        standings = self._standings(service, now, stage)
-        if standings.listed or standings.last_resorts:
-            return standings.listed or standings.last_resorts
+        by_availability = self._by_availability(service, now, stage)
+        if by_availability.listed or by_availability.last_resorts:
+            return by_availability.listed or by_availability.last_resorts
         # A stream takes two sendings, an ask for room and itself: engines that rest get none.
         return [
             tracked
-            for tracked in standings.resting
+            for tracked in by_availability.in_backoff
             if tracked.worker.stage is None
-            and self.wishes.may_be_last_resort(tracked.worker.id, now)
+            and self.advice.may_send_in_backoff(tracked.worker.id, now)
         ]
 
-    def rest_left_s(self, service: str, now: float, *, stage: Stage | None = None) -> float:
+    def backoff_left_s(self, service: str, now: float, *, stage: Stage | None = None) -> float:
         """When the first worker takes work again, if all that could do it rest; else 0.
 
         A worker whose limit is reached rests until it takes another call.
         """
-        standings = self._standings(service, now, stage)
-        if standings.listed or standings.last_resorts:
+        by_availability = self._by_availability(service, now, stage)
+        if by_availability.listed or by_availability.last_resorts:
             return 0.0
-        rests = [self.wishes.rest_left_s(b.worker.id, now) for b in standings.resting]
-        rests += [self.limits.closed_s(b.worker.id, now) for b in standings.closed]
-        return min(rests, default=0.0)
-
-    def _standings(self, service: str, now: float, stage: Stage | None) -> _Standings:
-        found = _Standings()
-        leaving_by_id = self.wishes.leaving_by_id
-        resting = self.wishes.resting(now)
+        waits = [self.advice.backoff_left_s(b.worker.id, now) for b in by_availability.in_backoff]
+        waits += [self.limits.blocked_s(b.worker.id, now) for b in by_availability.at_limit]
+        return min(waits, default=0.0)
+
+    def _by_availability(
+        self, service: str, now: float, stage: Stage | None
+    ) -> _WorkersByAvailability:
+        found = _WorkersByAvailability()
+        leaving_by_id = self.advice.leaving_by_id
+        in_backoff = self.advice.in_backoff(now)
         has_limits = bool(self.limits.by_id)
         for worker_id, tracked in self._tracked_by_service.get(service, {}).items():
-            if not tracked.fits(stage, now):
+            if not tracked.can_serve(stage, now):
                 continue
-            if has_limits and self.limits.closed_s(worker_id, now) > 0.0:
-                found.closed.append(tracked)
+            if has_limits and self.limits.blocked_s(worker_id, now) > 0.0:
+                found.at_limit.append(tracked)
             elif worker_id in leaving_by_id:
                 leaving_s = now - leaving_by_id[worker_id].since
-                if leaving_s <= min(GONE_GRACE_S, self.lapsed_grace_s):
+                if leaving_s <= min(GONE_GRACE_S, self.mass_expiry_grace_s):
                     found.last_resorts.append(tracked)
             elif tracked.worker.state is not WorkerState.READY:
                 continue
-            elif worker_id in resting:
-                found.resting.append(tracked)
+            elif worker_id in in_backoff:
+                found.in_backoff.append(tracked)
             elif tracked.gone_at is None:
                 found.listed.append(tracked)
-            elif now - tracked.gone_at <= tracked.grace_s(self.lapsed_grace_s):
-                (found.listed if tracked.has_lapsed else found.last_resorts).append(tracked)
+            elif now - tracked.gone_at <= tracked.grace_s(self.mass_expiry_grace_s):
+                (found.listed if tracked.is_mass_expired else found.last_resorts).append(tracked)
         return found
 
     def _add(self, tracked: TrackedWorker) -> None:
@@ -249,9 +256,9 @@
         tracked.has_ended = True
         self._ended.append(tracked.worker)
 
-    def _is_lapse(self, service: str, gone: int) -> bool:
+    def _is_mass_expiry(self, service: str, gone: int) -> bool:
         listed = sum(b.gone_at is None for b in self._tracked_by_service[service].values())
-        return gone >= MIN_LAPSED and gone >= LAPSED_SHARE * listed
+        return gone >= MIN_MASS_EXPIRY and gone >= MASS_EXPIRY_RATIO * listed
 
     def of_service(self, service: str) -> list[TrackedWorker]:
         """All workers of a service, whatever their state."""
@@ -264,7 +271,7 @@
             tracked.in_flight += 1
             tracked.tokens_in_flight += tokens
 
-    def note_ended(self, worker_id: str, tokens: int) -> None:
+    def note_request_ended(self, worker_id: str, tokens: int) -> None:
         """Count a request that is over at a worker."""
         tracked = self.tracked_by_id.get(worker_id)
         if tracked is not None:
@@ -280,16 +287,16 @@
         tracked.failed_at = now
         if tracked.latency_s == 0.0:
             tracked.latency_s = latency_s
-        tracked.latency_s += LATENCY_WEIGHT * (latency_s - tracked.latency_s)
+        tracked.latency_s += LATENCY_EWMA_WEIGHT * (latency_s - tracked.latency_s)
 
-    def note_pause(self, worker_id: str, pause_s: float) -> None:
+    def note_chunk_gap(self, worker_id: str, pause_s: float) -> None:
         """A part of a stream came some time after the one before it."""
         tracked = self.tracked_by_id.get(worker_id)
         if tracked is None:
             return
         if tracked.pause_s == 0.0:
             tracked.pause_s = pause_s
-        tracked.pause_s += PAUSE_WEIGHT * (pause_s - tracked.pause_s)
+        tracked.pause_s += GAP_EWMA_WEIGHT * (pause_s - tracked.pause_s)
 
     def note_rejected(self, worker_id: str, now: float) -> None:
         """A worker said that it did not run a request: it is full, or leaving."""
@@ -302,7 +309,7 @@
         tracked = self.tracked_by_id.get(worker_id)
         if tracked is None:
             return 0.0
-        tracked.failures = min(MAX_FAILURES, tracked.failure_score(now) + weight)
+        tracked.failures = min(MAX_FAILURE_SCORE, tracked.failure_score(now) + weight)
         tracked.failed_at = now
         return tracked.failures
 
@@ -314,7 +321,7 @@
         ``sent_since`` are open requests of this box that may have come too late to be counted.
         """
         tracked = self.tracked_by_id.get(worker_id)
-        if tracked is not None and max(running, waiting) <= MOST_REQUESTS:
+        if tracked is not None and max(running, waiting) <= MAX_REPORTED_REQUESTS:
             tracked.load_running = running
             tracked.load_waiting = waiting
             tracked.load_at = now
@@ -340,7 +347,9 @@
         tracked = self.tracked_by_id.get(worker_id)
         if tracked is None or tracked.worker.stage is stage:
             return False
-        is_known = tracked.changing_to is stage and now - tracked.changing_since < CHANGE_KNOWN_S
+        is_known = (
+            tracked.changing_to is stage and now - tracked.changing_since < STAGE_CHANGE_DEDUP_S
+        )
         if is_known:
             return False
         tracked.changing_to = stage
--- a/src/croftchute/tables/crashes.py
+++ b/src/croftchute/tables/crashes.py
@@ -34,7 +34,7 @@
     age_s: float
 
     @property
-    def is_good_end(self) -> bool:
+    def is_success(self) -> bool:
         """Whether the request ran to a good end then."""
         return not self.life
 
--- a/src/croftchute/tables/organisations.py
+++ b/src/croftchute/tables/organisations.py
@@ -34,7 +34,7 @@
     return hashlib.blake2b(key, digest_size=FINGERPRINT_BYTES, person=b"croftchute-key").hexdigest()
 
 
-class LimitWay(StrEnum):
+class LimitMode(StrEnum):
     """How a limit that holds over all boxes is kept: by pools of lent shares, or box by box."""
 
     POOLED = "pooled"
@@ -52,24 +52,24 @@
 class UsageLimit:
     """What an organisation may use over all boxes: units a second, and a burst above that.
 
-    ``plain_tokens`` is what a request counts that names no tokens.
+    ``default_tokens`` is what a request counts that names no tokens.
     """
 
     rate_per_s: float
     burst: float
     unit: LimitUnit = LimitUnit.REQUESTS
-    plain_tokens: int = 0
+    default_tokens: int = 0
 
     def cost(self, tokens: int | None) -> int:
         """The units that a request counts; ``tokens`` is None if it names none.
 
-        >>> limit = UsageLimit(rate_per_s=1, burst=1, unit=LimitUnit.TOKENS, plain_tokens=200)
+        >>> limit = UsageLimit(rate_per_s=1, burst=1, unit=LimitUnit.TOKENS, default_tokens=200)
         >>> limit.cost(3272), limit.cost(None)
         (3272, 200)
         """
         if self.unit is LimitUnit.REQUESTS:
             return 1
-        return self.plain_tokens if tokens is None else tokens
+        return self.default_tokens if tokens is None else tokens
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
--- a/src/croftchute/tables/peers.py
+++ b/src/croftchute/tables/peers.py
@@ -6,7 +6,7 @@
 
 from croftchute.systems.prefill_pace import PrefillSample
 
-NOT_LEFT_OUT = -1.0
+NOT_OMITTED = -1.0
 """Stands for the age of an answer that did not come."""
 
 
@@ -52,7 +52,7 @@
     worker: str
     per_s: float
     named_s: float
-    left_out_s: float = NOT_LEFT_OUT
+    left_out_s: float = NOT_OMITTED
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
--- a/src/croftchute/tables/routing.py
+++ b/src/croftchute/tables/routing.py
@@ -126,7 +126,7 @@
                 return route
         return None
 
-    def most_urgent_by_service(self) -> dict[str, int]:
+    def top_priority_by_service(self) -> dict[str, int]:
         """The first rank among the routes to each service."""
         found: dict[str, int] = {}
         for routes in self.routes_by_host.values():
@@ -201,8 +201,8 @@
     ``headers`` are those to hand on: without those that concern one connection only and
     without those that the router sets itself. ``time_left_s`` is None if the caller names
     no deadline; ``resume_after`` is the last event that the caller already has. ``organisation``
-    is what the router found by the key, empty if the request needs none; ``named_tokens`` is None
-    if the caller names no tokens.
+    is what the router found by the key, empty if the request needs none; ``declared_tokens`` is
+    None if the caller names no tokens.
     """
 
     id: str
@@ -221,7 +221,7 @@
     prompt_parts: tuple[str, ...] = ()
     key: KeyClaim = NO_KEY
     organisation: str = ""
-    named_tokens: int | None = None
+    declared_tokens: int | None = None
 
     @property
     def digest(self) -> str:
@@ -235,11 +235,11 @@
         )
 
     @property
-    def own_part(self) -> str:
+    def last_prompt_part(self) -> str:
         """The id of the prompt's last part, which is the request's own; empty if not told."""
         return self.prompt_parts[-1].partition(":")[0] if self.prompt_parts else ""
 
     @property
-    def likely_output(self) -> int:
+    def planned_output_tokens(self) -> int:
         """Output tokens to reckon with: the caller's guess, or the most it asks for."""
         return self.output_tokens if self.expected_output is None else self.expected_output
--- a/tests/forwarding/store/test_fleet_record.py
+++ b/tests/forwarding/store/test_fleet_record.py
@@ -9,7 +9,7 @@
 from croftchute.errors import Code, StoreError
 from croftchute.forwarding.store.fleet_record import RECORD_KEY, FleetRecord
 from croftchute.storage.watched import StoredItem
-from croftchute.systems.fleet_size import LOWER_AFTER_S, FleetSize
+from croftchute.systems.fleet_size import SHRINK_DELAY_S, FleetSize
 from croftchute.tables.fleet import FleetEntry
 
 
@@ -46,7 +46,7 @@
     named = []
     state = SimpleNamespace(
         box="b1",
-        peers=SimpleNamespace(known_boxes=known, note_named=lambda *where: named.append(where)),
+        peers=SimpleNamespace(known_boxes=known, note_address=lambda *where: named.append(where)),
         named=named,
         clock=lambda: state.now,
         now=0.0,
@@ -113,7 +113,7 @@
     other = made(store, known=40)
     for record in (main, other):
         look(record)
-        record.state.now = LOWER_AFTER_S + 1.0
+        record.state.now = SHRINK_DELAY_S + 1.0
         look(record)
     assert store.found.value == entry(40)
     assert (main.size.recorded, other.size.recorded) == (40, 40)
--- a/tests/forwarding/workers/test_stage_orders.py
+++ b/tests/forwarding/workers/test_stage_orders.py
@@ -107,9 +107,9 @@
             for name in ("p0", "p1", "p2"):
                 await made.add_worker(name, service="llm", stage="prefill")
             await made.ready(box)
-            wishes = box.state.workers.wishes
-            wishes.note_leaving("p0", box.state.clock())
-            wishes.note_rest("p1", 60.0, box.state.clock())
+            advice = box.state.workers.advice
+            advice.note_leaving("p0", box.state.clock())
+            advice.note_backoff("p1", 60.0, box.state.clock())
             # No decode worker is listed, so one is wanted at once.
             box.orders.wanted()
             assert [change.worker.id for change in box.orders.wanted()] == ["p2"]
--- a/tests/platform_adapter/test_crashing_requests.py
+++ b/tests/platform_adapter/test_crashing_requests.py
@@ -99,7 +99,7 @@
 async def end_three(boxes, path="/resume/x"):
     """Have three workers ended by tries at one box; the other has not been told since."""
     number = 0
-    while boxes[0].state.crashes.lives_ended(next(iter(boxes[0].state.crashes.by_digest), "")) < 3:
+    while boxes[0].state.crashes.crash_count(next(iter(boxes[0].state.crashes.by_digest), "")) < 3:
         await ask(boxes[0], path, f"r{number}", body=CRASHES)
         number += 1
     return next(iter(boxes[0].state.crashes.by_digest))
@@ -127,7 +127,7 @@
             assert answer.body == b'{"code":"ends_workers","ran":"not_run"}'
             assert 0.0 < float(answer.headers["retry-after"]) <= 600.0
             assert [len(worker.received) for worker in [*decode, *prefill]] == asked
-            assert box.state.crashes.refused_s(digest, box.state.clock()) > 0.0
+            assert box.state.crashes.refusal_left_s(digest, box.state.clock()) > 0.0
 
     run(body)
 
@@ -179,7 +179,7 @@
                 one.exchange.send_notices = lambda: None
             digest = await end_three(boxes)
             known = boxes[1].state.crashes
-            await until(lambda: known.refused_s(digest, boxes[1].state.clock()) > 0.0)
+            await until(lambda: known.refusal_left_s(digest, boxes[1].state.clock()) > 0.0)
             assert (await ask(boxes[1], "/resume/x", "there", body=CRASHES)).status == 503
             assert len(ended(decode)) == 3
 
@@ -198,7 +198,7 @@
             assert made.store.items_by_key[key].lease != 0
             later = await made.add_box("box-2")
             await made.ready(later)
-            await until(lambda: later.state.crashes.lives_ended(digest) == 3)
+            await until(lambda: later.state.crashes.crash_count(digest) == 3)
             assert (await ask(later, "/resume/x", "there", body=CRASHES)).status == 503
             assert len(ended(decode)) == 3
 
@@ -217,7 +217,7 @@
             await until(lambda: PREFIX + digest in made.store.items_by_key)
             await ask(apart, "/resume/x", "there", body=CRASHES)
             known = apart.state.crashes
-            await until(lambda: known.refused_s(digest, apart.state.clock()) > 0.0)
+            await until(lambda: known.refusal_left_s(digest, apart.state.clock()) > 0.0)
             before = len(ended(decode))
             for number in range(3):
                 answer = await ask(apart, "/resume/x", f"more{number}", body=CRASHES)
@@ -249,7 +249,7 @@
             await until(lambda: key in made.store.items_by_key)
             made.store.put(key, {"ended_at_by_life": {"elsewhere": box.state.wall_clock()}})
             box.crash_register.note([digest])
-            await until(lambda: box.state.crashes.lives_ended(digest) == 4)
+            await until(lambda: box.state.crashes.crash_count(digest) == 4)
             await until(lambda: len(entry_of(made.store, key)) == 4)
 
     run(body)
--- a/tests/platform_adapter/test_hall_news.py
+++ b/tests/platform_adapter/test_hall_news.py
@@ -8,8 +8,8 @@
 
 from croftchute.errors import Code, StoreError
 from croftchute.forwarding.store import news_messages, prefix_follower
-from croftchute.systems.hall_relays import MOST_RELAYS
-from croftchute.systems.rendezvous import rank
+from croftchute.systems.hall_relays import MAX_RELAYS
+from croftchute.systems.rendezvous import rank_nodes
 from croftchute.tables.routing import WorkerState
 
 BOXES = 8
@@ -24,7 +24,7 @@
         box.state.peers.seeds = hub
     for box in boxes:
         await until(lambda box=box: box.state.peers.boxes(box.state.clock()) == count)
-    order = rank("a", [box.state.box for box in boxes])
+    order = rank_nodes("a", [box.state.box for box in boxes])
     return sorted(boxes, key=lambda box: order.index(box.state.box))
 
 
@@ -227,10 +227,10 @@
             boxes = await hall_of(made)
             await settle(made, boxes)
             for box in boxes:
-                box.follower.relays._passed_over_until.clear()
+                box.follower.relays._skipped_until.clear()
             made.store.faults.refuses = True
             made.store.forget_history()
-            followers = boxes[MOST_RELAYS:]
+            followers = boxes[MAX_RELAYS:]
             for box in followers:
                 await until(lambda b=box: b.follower.relays.is_store_lost(b.state.clock()))
             made.store.calls.clear()
@@ -302,7 +302,7 @@
             follower.store.item, give = refuse, follower.store.item
             made.store.put("op/config", config(version + 1))
             await until(lambda: len(asked) > 2)
-            assert follower._relay_id == relay and not follower.relays._passed_over_until
+            assert follower._relay_id == relay and not follower.relays._skipped_until
             follower.store.item = give
             await in_force(boxes, version + 1)
 
--- a/tests/platform_adapter/test_leaving_workers.py
+++ b/tests/platform_adapter/test_leaving_workers.py
@@ -91,9 +91,9 @@
             leaving.faults.is_leaving = True
             assert (await ask(box, "/once/x", "first")).status == 200
             assert (await ask(box, "/once/x", "second")).status == 200
-            wishes = box.state.workers.wishes
-            known = wishes.leaving_by_id["w0"]
-            wishes.leaving_by_id["w0"] = replace(known, since=known.since - 2 * GONE_GRACE_S)
+            advice = box.state.workers.advice
+            known = advice.leaving_by_id["w0"]
+            advice.leaving_by_id["w0"] = replace(known, since=known.since - 2 * GONE_GRACE_S)
             refused = await ask(box, "/once/x", "third")
             assert (refused.status, "retry-after" in refused.headers) == (503, True)
             assert leaving.ran == ["first", "second"]
@@ -112,7 +112,7 @@
             prefer(box, "w0")
             assert (await ask(box, "/once/x", "first")).status == 200
             box.exchange.send_notices()
-            await until(lambda: other.state.workers.wishes.is_leaving("w0"))
+            await until(lambda: other.state.workers.advice.is_leaving("w0"))
             for n in range(LATER_REQUESTS):
                 prefer(other, "w0")
                 assert (await ask(other, "/once/x", f"r{n}")).status == 200
--- a/tests/platform_adapter/test_life.py
+++ b/tests/platform_adapter/test_life.py
@@ -14,7 +14,7 @@
 from platform_fleet import ask, fleet, read_answer, request_bytes, run, until
 
 from croftchute.daemon import router_process
-from croftchute.daemon.router_process import lapsed_grace_s
+from croftchute.daemon.router_process import mass_expiry_grace_s
 from croftchute.errors import DocumentError
 from croftchute.forwarding.decision_log import Decision
 from croftchute.forwarding.store.store_follower import WORKERS_PAUSE_S
@@ -315,5 +315,5 @@
 def test_workers_off_the_list_are_given_up_well_before_new_work_is_barred(drain_s):
     """What is told late and what is borne afterwards add up: they came to 2.5 s of 2.0."""
     settings = parse_router_settings(json.dumps(SETTINGS | {"drain_s": drain_s}).encode())
-    longest = max(lapsed_grace_s(settings), GONE_GRACE_S)
+    longest = max(mass_expiry_grace_s(settings), GONE_GRACE_S)
     assert WORKERS_PAUSE_S + longest + 0.3 <= drain_s
--- a/tests/platform_adapter/test_limits.py
+++ b/tests/platform_adapter/test_limits.py
@@ -7,7 +7,7 @@
 
 from croftchute.systems.allowance_pool import LEASE_S
 from croftchute.systems.lent_share import group_of
-from croftchute.systems.rendezvous import rank
+from croftchute.systems.rendezvous import rank_nodes
 from croftchute.tables.allowances import UsageGrant
 
 KEY = bearer("crew-key")
@@ -180,7 +180,7 @@
         async with fleet(config=limited()) as made:
             box = await one_box(made)
             pool = box.shared_rates.groups[0].pool
-            pool.give = lambda want, known, now: UsageGrant(name=want.name, units=0.0, wait_s=0.01)
+            pool.grant = lambda want, known, now: UsageGrant(name=want.name, units=0.0, wait_s=0.01)
             answer = await ask(box, "/safe/x", "r1", extra=(KEY,), tokens="300,100")
             assert answer.status == 429
 
@@ -191,7 +191,7 @@
     async def body():
         async with fleet(config=limited(RatePerS=20_000)) as made:
             await made.add_worker("w1")
-            pool_id, other_id = rank(f"limits-{group_of('crew')}", ("box-1", "box-2"))
+            pool_id, other_id = rank_nodes(f"limits-{group_of('crew')}", ("box-1", "box-2"))
             pool = await made.add_box(pool_id)
             await made.ready(pool)
             grow_old(pool)
--- a/tests/platform_adapter/test_limits_in_trouble.py
+++ b/tests/platform_adapter/test_limits_in_trouble.py
@@ -22,7 +22,7 @@
 )
 from croftchute.steady_clock import steady_s
 from croftchute.systems.lent_share import WORKERS_GROUP
-from croftchute.systems.worker_limits import OVER_AFTER_S
+from croftchute.systems.worker_limits import LIMIT_END_DELAY_S
 from croftchute.tables.routing import Stage
 
 FLOOD_S = 5.0
@@ -183,8 +183,8 @@
             await callers.call_for(1.0)
             limited.faults.limit = ""
             ended_at = asyncio.get_running_loop().time()
-            await callers.call_for(OVER_AFTER_S + 2.5)
-            after = len(arrivals(limited, since=ended_at + OVER_AFTER_S + 1.5))
+            await callers.call_for(LIMIT_END_DELAY_S + 2.5)
+            after = len(arrivals(limited, since=ended_at + LIMIT_END_DELAY_S + 1.5))
             assert after > 3 * allowed(1.0) / 4.0
 
     run(body)
@@ -210,7 +210,7 @@
         async with fleet() as made:
             box = await plain_box(made)
             limits = box.state.workers.limits
-            limits.note_named("w0", 0.1, box.state.clock())
+            limits.note_limit("w0", 0.1, box.state.clock())
             await made.add_worker("w0-again")
             await made.ready(box)
             prefer(box, "w0-again")
@@ -230,8 +230,8 @@
 def exhaust(box, worker_id):
     """Let a worker's limit be reached for this box."""
     limits = box.state.workers.limits
-    limits.note_named(worker_id, 0.5, box.state.clock())
-    limits.by_id[worker_id].closed_until = box.state.clock() + 60.0
+    limits.note_limit(worker_id, 0.5, box.state.clock())
+    limits.by_id[worker_id].blocked_until = box.state.clock() + 60.0
 
 
 def test_orders_and_releases_are_not_sent_where_the_limit_is_reached():
@@ -272,7 +272,7 @@
             group = box.shared_rates.groups[WORKERS_GROUP]
             group.share.started_at -= 60.0
             await until(lambda: box.fleet_size.is_known)
-            box.state.workers.limits.note_named("w0", 4.0, box.state.clock())
+            box.state.workers.limits.note_limit("w0", 4.0, box.state.clock())
             assert (await ask(box, "/once/x", "r1")).status == 200
 
     run(body)
@@ -283,7 +283,7 @@
         async with fleet() as made:
             box = await plain_box(made)
             limits = box.state.workers.limits
-            limits.note_named("w0", 1.0, box.state.clock())
+            limits.note_limit("w0", 1.0, box.state.clock())
 
             async def denied(group, want, *, patience_s):
                 limits.by_id.clear()
@@ -299,7 +299,7 @@
     async def body():
         async with fleet() as made:
             box = await plain_box(made)
-            box.state.workers.limits.note_named("w0", 2.0, box.state.clock())
+            box.state.workers.limits.note_limit("w0", 2.0, box.state.clock())
             group = box.shared_rates.groups[WORKERS_GROUP]
             group.share.started_at -= 60.0
             await until(lambda: group.pool.live_share(box.state.clock()) > 0.0)
--- a/tests/platform_adapter/test_load_probe.py
+++ b/tests/platform_adapter/test_load_probe.py
@@ -146,7 +146,7 @@
             }
             assert {load.pace for load in loads.values()} == {2.5}
             for known in tracked_workers(box, Stage.PREFILL):
-                assert known.others_running(box.state.clock()) == 3
+                assert known.other_boxes_running(box.state.clock()) == 3
 
     run(body)
 
@@ -236,7 +236,7 @@
         async with fleet(config=probed_config()) as made:
             box, prefill = await probed(made)
             limited = prefill[0]
-            box.state.workers.limits.note_named(limited.id, 1.0, box.state.clock())
+            box.state.workers.limits.note_limit(limited.id, 1.0, box.state.clock())
             asked = []
 
             class NoneLeft:
@@ -377,7 +377,7 @@
                 expected_rng = random.Random(seed)
                 expected = choose(
                     state.workers.usable(service, state.clock(), stage=stage),
-                    around=request.surroundings(stage, near=near),
+                    context=request.choice_context(stage, near=near),
                     avoid=request.avoid,
                     now=state.clock(),
                     rng=expected_rng,
--- a/tests/platform_adapter/test_resting_workers.py
+++ b/tests/platform_adapter/test_resting_workers.py
@@ -122,7 +122,7 @@
             prefill.work_s = 0.2
             asked = asyncio.create_task(ask(box, "/stream/x", "r1", extra=(PARTS,)))
             await until(lambda: first.holds)
-            box.state.workers.wishes.note_rest("d0", REST_S, box.state.clock())
+            box.state.workers.advice.note_backoff("d0", REST_S, box.state.clock())
             assert (await asked).status == 200
             assert (first.ran, second.ran) == ([], ["r1"])
             assert [r.path for r in first.received] == ["/hold-take"]
@@ -137,7 +137,7 @@
             state = box.state
             worker = state.workers.tracked_by_id["d0"].worker
             hold = await take_hold(state, worker, 10, 2.0)
-            state.workers.wishes.note_rest("d0", 0.3, state.clock())
+            state.workers.advice.note_backoff("d0", 0.3, state.clock())
             ends_at = state.clock() + 0.3
             giving_back = asyncio.create_task(drop_hold(state, hold, "r1"))
             await until(lambda: len(decode.received) > 1)
@@ -154,7 +154,7 @@
             box, (decode, *_), _ = await engines(made)
             state = box.state
             hold = await take_hold(state, state.workers.tracked_by_id["d0"].worker, 10, 2.0)
-            state.workers.wishes.note_rest("d0", 2 * LONGEST_LEASE_S, state.clock())
+            state.workers.advice.note_backoff("d0", 2 * LONGEST_LEASE_S, state.clock())
             await drop_hold(state, hold, "r1")
             assert [r.path for r in decode.received] == ["/hold-take"]
 
--- a/tests/platform_adapter/test_restored_store.py
+++ b/tests/platform_adapter/test_restored_store.py
@@ -16,7 +16,7 @@
 from croftchute.forwarding.store.fleet_record import RECORD_KEY
 from croftchute.storage.position import MAX_ERA, era_of, position
 from croftchute.storage.watched import HistoryGoneError
-from croftchute.systems.worker_table import LAPSED_GRACE_S
+from croftchute.systems.worker_table import MASS_EXPIRY_GRACE_S
 
 LATER_REQUESTS = 12
 WRITTEN_SINCE = 20
@@ -58,7 +58,7 @@
             restore(made, copy)
             leaving = made.workers_by_id["w0"]
             made.store.put("servers/w0", leaving.entry("desk", "a", "draining"))
-            await until(lambda: box.state.workers.wishes.is_leaving("w0"))
+            await until(lambda: box.state.workers.advice.is_leaving("w0"))
             for n in range(LATER_REQUESTS):
                 assert (await ask(box, "/once/x", f"r{n}")).status == 200
             assert leaving.ran == []
@@ -73,7 +73,7 @@
             copy = made.store.copy()
             leaving = made.workers_by_id["w0"]
             made.store.put("servers/w0", leaving.entry("desk", "a", "draining"))
-            await until(lambda: box.state.workers.wishes.is_leaving("w0"))
+            await until(lambda: box.state.workers.advice.is_leaving("w0"))
             restore(made, copy)
             await knows_era(box, 4)
             for n in range(LATER_REQUESTS):
@@ -95,8 +95,8 @@
             workers, now = box.state.workers, box.state.clock()
             assert len(workers.usable("desk", now)) == 4
             gone = workers.tracked_by_id["new"]
-            assert gone.has_lapsed
-            assert len(workers.usable("desk", gone.gone_at + LAPSED_GRACE_S + 0.1)) == 3
+            assert gone.is_mass_expired
+            assert len(workers.usable("desk", gone.gone_at + MASS_EXPIRY_GRACE_S + 0.1)) == 3
 
     run(body)
 
--- a/tests/platform_adapter/test_silent_connections.py
+++ b/tests/platform_adapter/test_silent_connections.py
@@ -7,7 +7,7 @@
 from platform_fleet import ask, fleet, request_bytes, run, until
 from silent_link import SilentLink
 
-from croftchute.systems.tracked_worker import REJECTED_LATELY_S
+from croftchute.systems.tracked_worker import REJECTION_HOLD_S
 
 USUAL_S = 0.3
 """Usual seconds between events of a slow engine."""
@@ -101,12 +101,12 @@
             box = await made.add_box()
             await made.ready(box)
             tracked = box.state.workers.tracked_by_id["w1"]
-            assert not tracked.has_rejected_lately(box.state.clock())
+            assert not tracked.has_rejected_recently(box.state.clock())
             worker.faults.is_full = True
             assert (await ask(box, "/once/x", "r1")).status == 503
             now = box.state.clock()
-            assert tracked.has_rejected_lately(now)
-            assert not tracked.has_rejected_lately(now + REJECTED_LATELY_S)
+            assert tracked.has_rejected_recently(now)
+            assert not tracked.has_rejected_recently(now + REJECTION_HOLD_S)
 
     run(body)
 
@@ -177,7 +177,7 @@
             slow = await made.add_worker("w1", gap_s=4.0 * USUAL_S, **options)
             box = await made.add_box()
             await made.ready(box)
-            box.state.workers.note_pause("w1", USUAL_S)
+            box.state.workers.note_chunk_gap("w1", USUAL_S)
             asking = asyncio.create_task(ask(box, "/resume/x", "r1", deadline=8000))
             await until(lambda: slow.runs_of("r1") == 1)
             other = await made.add_worker("w2", **options)
--- a/tests/platform_adapter/test_wishes.py
+++ b/tests/platform_adapter/test_wishes.py
@@ -7,7 +7,7 @@
 
 from croftchute.forwarding.http.http_client import ResponseHead
 from croftchute.retry_after import MAX_REST_S
-from croftchute.systems.worker_wishes import NO_WISH, WorkerWish
+from croftchute.systems.worker_advice import NO_ADVICE, WorkerAdvice
 
 SENT = (b"date", b"Thu, 03 Dec 2026 10:00:00 GMT")
 
@@ -27,7 +27,7 @@
 
 @pytest.mark.parametrize("value", [b"0", b"", b"-1", b"true", b"10", b"\xff", b"1.0"])
 def test_any_other_value_says_nothing_of_leaving(value):
-    assert read_wish(head(200, (b"server-leaving", value))) is NO_WISH
+    assert read_wish(head(200, (b"server-leaving", value))) is NO_ADVICE
 
 
 def test_leaving_that_is_said_twice_is_said():
@@ -59,7 +59,7 @@
 
 
 def test_a_date_without_the_answers_own_date_says_nothing():
-    assert read_wish(head(503, *retry_after(SENT[1]))) is NO_WISH
+    assert read_wish(head(503, *retry_after(SENT[1]))) is NO_ADVICE
 
 
 def test_of_two_times_the_longer_one_counts():
@@ -68,12 +68,12 @@
 
 @pytest.mark.parametrize("status", [200, 302, 500, 502])
 def test_only_a_refusal_asks_for_rest(status):
-    assert read_wish(head(status, *retry_after(b"3"))) is NO_WISH
+    assert read_wish(head(status, *retry_after(b"3"))) is NO_ADVICE
 
 
 def test_another_worker_at_the_address_speaks_for_itself():
     answer = head(421, (b"server-leaving", b"1"), *retry_after(b"3"))
-    assert read_wish(answer) is NO_WISH
+    assert read_wish(answer) is NO_ADVICE
 
 
 @given(
@@ -85,7 +85,7 @@
 def test_no_bytes_are_too_odd(status, leaving, rest, date):
     answer = head(status, (b"server-leaving", leaving), (b"date", date), *retry_after(rest))
     wish = read_wish(answer)
-    assert isinstance(wish, WorkerWish)
+    assert isinstance(wish, WorkerAdvice)
     assert 0.0 <= wish.rest_s <= MAX_REST_S
 
 
@@ -119,4 +119,4 @@
 
 
 def test_another_worker_at_the_address_names_no_limit_for_the_one_that_was_asked():
-    assert read_wish(head(421, *limits(b"1"))) is NO_WISH
+    assert read_wish(head(421, *limits(b"1"))) is NO_ADVICE
--- a/tests/soak/test_traffic.py
+++ b/tests/soak/test_traffic.py
@@ -50,10 +50,10 @@
             rng=random.Random(3),
         )
 
-        async def note_pause(attempt, caller):
+        async def note_chunk_gap(attempt, caller):
             pauses.append(attempt.path)
 
-        callers._pause = note_pause
+        callers._pause = note_chunk_gap
         task = asyncio.create_task(callers.keep_calling(number))
         async with asyncio.timeout(30):
             while len(callers.tries_by_id) < wanted:
--- a/tests/systems/crash_world.py
+++ b/tests/systems/crash_world.py
@@ -19,11 +19,11 @@
 
 DELAY_S = 0.003
 LOSS = 0.02
-NOTICE_S = 0.5
-RUNS_S = 0.1
+NOTICE_INTERVAL_S = 0.5
+TIME_TO_CRASH_S = 0.1
 """Seconds from a request's arrival at a worker to the worker's end."""
 
-BACK_S = 4.0
+RESTART_DELAY_S = 4.0
 ATTEMPTS = 2
 CONTACT_S = 3.0
 STREAM_S = 3.0
@@ -38,7 +38,7 @@
 
 
 @dataclass
-class Sound:
+class HealthyRequest:
     """A request of another caller; it is sent on once, and its caller comes back once."""
 
     digest: str
@@ -48,7 +48,7 @@
 
 
 class World:
-    def __init__(self, *, boxes, workers, halls=3, seed=1, sound_per_s=0.0):
+    def __init__(self, *, boxes, workers, halls=3, seed=1, healthy_per_s=0.0):
         self.rng = random.Random(seed)
         self.boxes = [Box(name=n, hall=n % halls) for n in range(boxes)]
         self.lives = {n: f"w{n}-0" for n in range(workers)}
@@ -56,19 +56,19 @@
         self.running = {n: {} for n in range(workers)}
         self.now = 0.0
         self.cut_halls = set()
-        self.sound_per_s = sound_per_s
-        self.reached = {}
+        self.healthy_per_s = healthy_per_s
+        self.arrivals = {}
         self.ended_at = {}
         self.refused = {}
-        self.sound_sent = 0
-        self.sound_refused = 0
+        self.healthy_sent = 0
+        self.healthy_refused = 0
         self.bytes_told = 0
         self._queue = []
         self._numbers = itertools.count()
         for box in self.boxes:
-            self.at(self.rng.random() * NOTICE_S, self._notice, box)
-        if sound_per_s:
-            self.at(0.0, self._send_sound)
+            self.at(self.rng.random() * NOTICE_INTERVAL_S, self._notice, box)
+        if healthy_per_s:
+            self.at(0.0, self._send_healthy)
 
     def at(self, after_s, what, *facts):
         heapq.heappush(self._queue, (self.now + after_s, next(self._numbers), what, facts))
@@ -81,26 +81,26 @@
 
     # Boxes.
 
-    def hear_one_another(self, one, other):
+    def can_reach(self, one, other):
         return one.hall == other.hall or not {one.hall, other.hall} & self.cut_halls
 
-    def tell(self, box, notices):
+    def send_notices(self, box, notices):
         if not notices:
             return
         told = tuple(notices)
         for other in self.rng.sample(self.boxes, min(FANOUT, len(self.boxes))):
-            if other is box or self.rng.random() < LOSS or not self.hear_one_another(box, other):
+            if other is box or self.rng.random() < LOSS or not self.can_reach(box, other):
                 continue
             self.bytes_told += 40 * len(notices)
-            self.at(DELAY_S, self._hear, other, told)
+            self.at(DELAY_S, self._receive, other, told)
 
-    def _hear(self, box, notices):
-        for digest in box.records.take(notices, self.now):
-            self.tell(box, box.records.notices(digest, self.now))
+    def _receive(self, box, notices):
+        for digest in box.records.merge(notices, self.now):
+            self.send_notices(box, box.records.notices(digest, self.now))
 
     def _notice(self, box):
-        self.tell(box, box.records.next_notices(self.now, NOTICES_EACH_TIME))
-        self.at(NOTICE_S * self.rng.uniform(0.8, 1.2), self._notice, box)
+        self.send_notices(box, box.records.next_notices(self.now, NOTICES_EACH_TIME))
+        self.at(NOTICE_INTERVAL_S * self.rng.uniform(0.8, 1.2), self._notice, box)
 
     def restart(self, box):
         """A box begins anew; it reads what the store keeps of refused requests."""
@@ -108,12 +108,12 @@
             notice
             for other in self.boxes
             for digest in other.records.by_digest
-            if other.records.refused_s(digest, self.now)
+            if other.records.refusal_left_s(digest, self.now)
             for notice in other.records.notices(digest, self.now)
         ]
         box.records = CrashRecords()
         box.joined_at = self.now
-        box.records.take(kept, self.now)
+        box.records.merge(kept, self.now)
 
     # Requests that end workers.
 
@@ -122,16 +122,16 @@
         self._attempt_bad(digest, box, ATTEMPTS)
 
     def _attempt_bad(self, digest, box, left):
-        if box.records.refused_s(digest, self.now):
+        if box.records.refusal_left_s(digest, self.now):
             self.refused[digest] = self.refused.get(digest, 0) + 1
             return
         if not self.alive:
             return
         worker = self.rng.choice(self.alive)
         in_touch = self.now - box.joined_at > CONTACT_S
-        self.reached.setdefault(digest, []).append((self.now, in_touch))
+        self.arrivals.setdefault(digest, []).append((self.now, in_touch))
         self.running[worker][digest] = (box, None)
-        self.at(RUNS_S, self._end, worker, self.lives[worker], digest, box, left - 1)
+        self.at(TIME_TO_CRASH_S, self._end, worker, self.lives[worker], digest, box, left - 1)
 
     def _end(self, worker, life, digest, box, left):
         if self.lives[worker] == life and worker in self.alive:
@@ -145,59 +145,61 @@
         self.alive.remove(worker)
         life, runs = self.lives[worker], self.running[worker]
         self.running[worker] = {}
-        for digest, (box, sound) in runs.items():
-            box.records.note_doubt(digest, life, self.now)
+        for digest, (box, healthy) in runs.items():
+            box.records.note_suspected_crash(digest, life, self.now)
             self.at(DELAY_S, self._settle, box, life, digest)
-            if sound is not None:
-                self.at(2 * DELAY_S, self._go_on, sound)
-        self.at(BACK_S, self._start, worker)
+            if healthy is not None:
+                self.at(2 * DELAY_S, self._retry, healthy)
+        self.at(RESTART_DELAY_S, self._start, worker)
 
     def _settle(self, box, life, digest):
-        for news in box.records.settle(life, ended_at=self.now):
-            self.tell(box, box.records.notices(news, self.now))
+        for news in box.records.resolve_suspicion(life, ended_at=self.now):
+            self.send_notices(box, box.records.notices(news, self.now))
 
     def _start(self, worker):
         self.lives[worker] = f"w{worker}-{next(self._numbers)}"
         self.alive.append(worker)
 
-    # Sound requests.
+    # HealthyRequest requests.
 
-    def _send_sound(self):
-        sound = Sound(digest=f"s{next(self._numbers)}", box=self.rng.randrange(len(self.boxes)))
-        self.sound_sent += 1
-        self._place(sound)
-        self.at(self.rng.expovariate(self.sound_per_s), self._send_sound)
+    def _send_healthy(self):
+        healthy = HealthyRequest(
+            digest=f"s{next(self._numbers)}", box=self.rng.randrange(len(self.boxes))
+        )
+        self.healthy_sent += 1
+        self._start_attempt(healthy)
+        self.at(self.rng.expovariate(self.healthy_per_s), self._send_healthy)
 
-    def _place(self, sound):
-        box = self.boxes[sound.box]
-        if box.records.refused_s(sound.digest, self.now):
-            self.sound_refused += 1
+    def _start_attempt(self, healthy):
+        box = self.boxes[healthy.box]
+        if box.records.refusal_left_s(healthy.digest, self.now):
+            self.healthy_refused += 1
             return
         if not self.alive:
             return
         worker = self.rng.choice(self.alive)
-        self.running[worker][sound.digest] = (box, sound)
-        self.at(self.rng.expovariate(1 / STREAM_S), self._finish, worker, sound)
-
-    def _finish(self, worker, sound):
-        if self.running[worker].pop(sound.digest, None) is not None:
-            self.boxes[sound.box].records.note_good_end(sound.digest, self.now)
-
-    def _go_on(self, sound):
-        if sound.attempts < ATTEMPTS:
-            sound.attempts += 1
-            self._place(sound)
-        elif sound.tries < 2:
-            sound.tries, sound.attempts = 2, 1
-            sound.box = self.rng.randrange(len(self.boxes))
-            self.at(0.3, self._place, sound)
+        self.running[worker][healthy.digest] = (box, healthy)
+        self.at(self.rng.expovariate(1 / STREAM_S), self._finish, worker, healthy)
+
+    def _finish(self, worker, healthy):
+        if self.running[worker].pop(healthy.digest, None) is not None:
+            self.boxes[healthy.box].records.note_success(healthy.digest, self.now)
+
+    def _retry(self, healthy):
+        if healthy.attempts < ATTEMPTS:
+            healthy.attempts += 1
+            self._start_attempt(healthy)
+        elif healthy.tries < 2:
+            healthy.tries, healthy.attempts = 2, 1
+            healthy.box = self.rng.randrange(len(self.boxes))
+            self.at(0.3, self._start_attempt, healthy)
 
     # What came of it.
 
-    def late(self, digest):
+    def late_arrivals(self, digest):
         """Arrivals at workers, from boxes in touch, later than it takes news to be known."""
         ended = sorted(self.ended_at.get(digest, []))
         if len(ended) < 3:
             return 0
         known_at = ended[2] + CONTACT_S
-        return sum(at > known_at and in_touch for at, in_touch in self.reached[digest])
+        return sum(at > known_at and in_touch for at, in_touch in self.arrivals[digest])
--- a/tests/systems/test_allowance_pool.py
+++ b/tests/systems/test_allowance_pool.py
@@ -21,7 +21,7 @@
         for box in range(BOXES):
             pool.lend(f"b{box}", share, echo=now, now=now)
         want = UsageWant(name=CREW, units=4000.0)
-        while units := pool.give(want, known, now).units:
+        while units := pool.grant(want, known, now).units:
             given += units
         now += 0.25
     return given / (limit.rate_per_s * seconds)
@@ -41,7 +41,7 @@
     known = {CREW: Organisation(name=CREW, limit=crew_limit())}
     want = UsageWant(name=CREW, units=100.0)
     given = 0.0
-    while units := pool.give(want, known, now).units:
+    while units := pool.grant(want, known, now).units:
         given += units
     return given
 
@@ -92,7 +92,7 @@
         for want, per_s in ((patient, 8.0), (urgent, 1.0)):
             if rng.random() < per_s * 0.1:
                 asked[want] += 1
-                given[want] += bool(pool.give(want, known, now).units)
+                given[want] += bool(pool.grant(want, known, now).units)
     assert given[urgent] >= 0.8 * asked[urgent]
     assert given[patient] < 0.4 * asked[patient]
     assert given[urgent] + given[patient] >= 0.9 * 2.0 * 60.0
--- a/tests/systems/test_crash_guard.py
+++ b/tests/systems/test_crash_guard.py
@@ -6,13 +6,13 @@
 from croftchute.commands import RefuseRequest, SendPeer
 from croftchute.errors import Code, Ran
 from croftchute.peers.messages import CrashNews, Reserve
-from croftchute.systems.crash_guard import LIFE_S, CrashGuard
+from croftchute.systems.crash_guard import CRASH_DEDUP_S, CrashGuard
 from croftchute.tables.crashes import request_digest
 
 DIGEST = request_digest(caller="c", method="POST", host="", target="/v1/completions", body=b"bad")
 
 
-def lose(entry, *engines, digest=DIGEST, at=100.0):
+def crash_engines(entry, *engines, digest=DIGEST, at=100.0):
     """End an engine under each of some tries of one request."""
     for number, engine in enumerate(engines):
         asked = request(f"r{number}", digest=digest)
@@ -25,9 +25,9 @@
 
 def test_a_request_is_refused_at_arrival_once_three_engines_have_ended_under_it():
     entry = make_entry()
-    lose(entry, "e1", "e2")
+    crash_engines(entry, "e1", "e2")
     assert sent(entry.arrive(request("r8", digest=DIGEST), 100.0), Reserve)
-    lose(entry, "e3")
+    crash_engines(entry, "e3")
     (refusal,) = refusals(entry.arrive(request("r9", digest=DIGEST), 100.0))
     assert (refusal.code, refusal.ran) == (Code.ENDS_WORKERS, Ran.NOT_RUN)
     assert refusal.retry_after_s == 600.0
@@ -39,7 +39,7 @@
 
 def test_the_third_engine_is_the_last_also_within_one_request():
     entry = make_entry()
-    lose(entry, "e1", "e2")
+    crash_engines(entry, "e1", "e2")
     start(entry)
     row = entry.open_by_id["r"]
     entry.open_by_id["r"] = type(row)(
@@ -66,17 +66,17 @@
     guard = CrashGuard()
     asked = request("r", digest=DIGEST)
     for number in range(3):
-        at = 100.0 + 2.0 * LIFE_S * number
+        at = 100.0 + 2.0 * CRASH_DEDUP_S * number
         guard.note(asked, end(failed_engine="e1", engine_has_ended=True), at)
-    assert guard.refused_s(asked, at) == 600.0
+    assert guard.refusal_left_s(asked, at) == 600.0
 
 
 def test_a_good_end_clears_it():
     entry = make_entry()
-    lose(entry, "e1", "e2")
+    crash_engines(entry, "e1", "e2")
     entry.crashes.note(request("r", digest=DIGEST), end(ok=True), 101.0)
-    lose(entry, "e3", at=102.0)
-    assert entry.crashes.refused_s(request("r", digest=DIGEST), 102.0) == 0.0
+    crash_engines(entry, "e3", at=102.0)
+    assert entry.crashes.refusal_left_s(request("r", digest=DIGEST), 102.0) == 0.0
 
 
 def test_boxes_tell_one_another_at_once_and_tell_on_what_is_refused():
@@ -84,12 +84,12 @@
     asked = request("r", digest=DIGEST)
     for number in range(3):
         here.note(asked, end(failed_engine=f"e{number}", engine_has_ended=True), 100.0)
-    for news in here.take_news(100.0):
-        there.hear(news, 100.0)
-    for news in there.take_news(100.1):
-        beyond.hear(news, 100.1)
-    assert there.refused_s(asked, 100.1) > 0.0 and beyond.refused_s(asked, 100.1) > 0.0
-    assert beyond.take_news(100.2) and not beyond.take_news(100.3)
+    for news in here.take_outgoing(100.0):
+        there.apply_notices(news, 100.0)
+    for news in there.take_outgoing(100.1):
+        beyond.apply_notices(news, 100.1)
+    assert there.refusal_left_s(asked, 100.1) > 0.0 and beyond.refusal_left_s(asked, 100.1) > 0.0
+    assert beyond.take_outgoing(100.2) and not beyond.take_outgoing(100.3)
 
 
 def test_a_box_that_was_not_there_hears_of_it_with_the_heartbeats():
@@ -97,18 +97,18 @@
     asked = request("r", digest=DIGEST)
     for number in range(3):
         here.note(asked, end(failed_engine=f"e{number}", engine_has_ended=True), 100.0)
-    here.take_news(100.0)
-    for news in here.with_beat(105.0):
-        late.hear(news, 105.0)
-    assert late.refused_s(asked, 105.0) > 0.0
+    here.take_outgoing(100.0)
+    for news in here.heartbeat_messages(105.0):
+        late.apply_notices(news, 105.0)
+    assert late.refusal_left_s(asked, 105.0) > 0.0
 
 
 def test_news_goes_to_the_boxes_that_hear_this_one():
     systems = make(peers=("b1", "b2"))
-    lose(systems.entry, "e1", "e2", "e3")
+    crash_engines(systems.entry, "e1", "e2", "e3")
     commands = systems._crash_news(100.0)
     told = [c for c in commands if isinstance(c, SendPeer) and isinstance(c.body, CrashNews)]
     assert told and all(len(command.body.notices) <= 64 for command in told)
     other = make("b1" if systems.own.id != "b1" else "b2", peers=(systems.own.id,))
     other.receive(systems.own.id, told[0].body, 100.1)
-    assert other.entry.crashes.refused_s(request("r", digest=DIGEST), 100.1) > 0.0
+    assert other.entry.crashes.refusal_left_s(request("r", digest=DIGEST), 100.1) > 0.0
--- a/tests/systems/test_fleet_size.py
+++ b/tests/systems/test_fleet_size.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from croftchute.systems.fleet_size import LOWER_AFTER_S, FleetSize
+from croftchute.systems.fleet_size import SHRINK_DELAY_S, FleetSize
 
 
 def test_a_box_that_knows_neither_the_record_nor_anybody_has_no_share():
@@ -32,12 +32,12 @@
 def test_fewer_boxes_are_recorded_only_after_they_have_been_fewer_for_long():
     size = FleetSize(recorded=78)
     assert size.to_record(52, now=10.0) is None
-    assert size.to_record(52, now=10.0 + LOWER_AFTER_S - 1.0) is None
-    assert size.to_record(52, now=10.0 + LOWER_AFTER_S) == 52
+    assert size.to_record(52, now=10.0 + SHRINK_DELAY_S - 1.0) is None
+    assert size.to_record(52, now=10.0 + SHRINK_DELAY_S) == 52
 
 
 def test_boxes_that_come_back_meanwhile_begin_the_wait_anew():
     size = FleetSize(recorded=78)
     assert size.to_record(52, now=10.0) is None
     assert size.to_record(78, now=200.0) is None
-    assert size.to_record(52, now=10.0 + LOWER_AFTER_S) is None
+    assert size.to_record(52, now=10.0 + SHRINK_DELAY_S) is None
--- a/tests/systems/test_hall_relays.py
+++ b/tests/systems/test_hall_relays.py
@@ -1,14 +1,14 @@
 """Who reads the store in a hall: a few boxes, the same in all views, and others once they fail."""
 
 from croftchute.systems.hall_relays import (
-    ASKED_S,
-    MIN_HALL,
-    MOST_RELAYS,
-    PASSED_OVER_S,
-    RELAYS,
+    MAX_RELAYS,
+    MIN_HALL_SIZE,
+    RELAY_BACKOFF_S,
+    RELAY_COUNT,
+    RELAY_DUTY_S,
     HallRelays,
 )
-from croftchute.systems.rendezvous import rank
+from croftchute.systems.rendezvous import rank_nodes
 from croftchute.tables.peers import Peer
 
 IDS = [f"box-{number}" for number in range(20)]
@@ -26,7 +26,7 @@
     )
 
 
-def mates_of(box_id, ids=IDS):
+def hall_peers_of(box_id, ids=IDS):
     return [peer(other) for other in ids if other != box_id]
 
 
@@ -35,7 +35,7 @@
     found = {}
     for box_id in ids:
         relays = HallRelays(own_id=box_id, hall="north")
-        mate = relays.to_follow(mates_of(box_id, ids), now)
+        mate = relays.relay_to_ask(hall_peers_of(box_id, ids), now)
         found[box_id] = mate.id if mate is not None else None
     return found
 
@@ -43,68 +43,68 @@
 def test_two_boxes_read_and_all_others_follow_one_of_them():
     found = followed()
     reading = {box for box, relay in found.items() if relay is None}
-    assert reading == set(rank("north", IDS)[:RELAYS])
+    assert reading == set(rank_nodes("north", IDS)[:RELAY_COUNT])
     assert {relay for relay in found.values() if relay is not None} == reading
 
 
 def test_the_followers_are_shared_out():
     found = followed()
-    counts = [list(found.values()).count(relay) for relay in rank("north", IDS)[:RELAYS]]
+    counts = [list(found.values()).count(relay) for relay in rank_nodes("north", IDS)[:RELAY_COUNT]]
     assert min(counts) >= 4
 
 
 def test_all_boxes_of_a_small_hall_read():
-    assert set(followed(IDS[: MIN_HALL - 1]).values()) == {None}
+    assert set(followed(IDS[: MIN_HALL_SIZE - 1]).values()) == {None}
 
 
 def test_a_reader_that_gave_no_news_is_passed_over_for_a_while():
-    own = rank("north", IDS)[-1]
+    own = rank_nodes("north", IDS)[-1]
     relays = HallRelays(own_id=own, hall="north")
-    mates = mates_of(own)
-    first = relays.to_follow(mates, 0.0)
-    relays.pass_over(first.id, 0.0)
-    second = relays.to_follow(mates, 0.1)
+    hall_peers = hall_peers_of(own)
+    first = relays.relay_to_ask(hall_peers, 0.0)
+    relays.skip_relay(first.id, 0.0)
+    second = relays.relay_to_ask(hall_peers, 0.1)
     assert second.id != first.id
-    assert relays.to_follow(mates, PASSED_OVER_S + 0.1).id == first.id
+    assert relays.relay_to_ask(hall_peers, RELAY_BACKOFF_S + 0.1).id == first.id
 
 
 def test_a_box_whom_no_reader_answers_reads_the_store_itself():
-    own = rank("north", IDS)[-1]
+    own = rank_nodes("north", IDS)[-1]
     relays = HallRelays(own_id=own, hall="north")
-    mates = mates_of(own)
+    hall_peers = hall_peers_of(own)
     asked = set()
-    while (relay := relays.to_follow(mates, 0.0)) is not None:
+    while (relay := relays.relay_to_ask(hall_peers, 0.0)) is not None:
         asked.add(relay.id)
-        relays.pass_over(relay.id, 0.0)
-    assert asked == set(rank("north", IDS)[:MOST_RELAYS])
+        relays.skip_relay(relay.id, 0.0)
+    assert asked == set(rank_nodes("north", IDS)[:MAX_RELAYS])
 
 
 def test_a_box_that_is_asked_reads_for_a_while_even_if_it_ranks_low():
-    own = rank("north", IDS)[-1]
+    own = rank_nodes("north", IDS)[-1]
     relays = HallRelays(own_id=own, hall="north")
-    mates = mates_of(own)
+    hall_peers = hall_peers_of(own)
     relays.note_asked(0.0)
-    assert relays.to_follow(mates, ASKED_S - 0.1) is None
-    assert relays.to_follow(mates, ASKED_S + 0.1) is not None
+    assert relays.relay_to_ask(hall_peers, RELAY_DUTY_S - 0.1) is None
+    assert relays.relay_to_ask(hall_peers, RELAY_DUTY_S + 0.1) is not None
 
 
 def test_when_a_reader_is_gone_the_next_in_rank_takes_its_place():
-    gone, *_, last = rank("north", IDS)
+    gone, *_, last = rank_nodes("north", IDS)
     left = [box for box in IDS if box != gone]
     assert {box for box, relay in followed(left).items() if relay is None} == set(
-        rank("north", left)[:RELAYS]
+        rank_nodes("north", left)[:RELAY_COUNT]
     )
     assert followed(left)[last] != gone
 
 
 def test_the_store_counts_as_lost_once_several_relays_say_so_and_not_for_long():
     relays = HallRelays(own_id="x", hall="north")
-    relays.pass_over("a", 0.0, has_lost_store=True)
-    relays.pass_over("b", 0.0)
+    relays.skip_relay("a", 0.0, has_lost_store=True)
+    relays.skip_relay("b", 0.0)
     assert not relays.is_store_lost(0.1)
-    relays.pass_over("c", 0.1, has_lost_store=True)
+    relays.skip_relay("c", 0.1, has_lost_store=True)
     assert relays.is_store_lost(0.2)
-    assert not relays.is_store_lost(PASSED_OVER_S + 0.2)
+    assert not relays.is_store_lost(RELAY_BACKOFF_S + 0.2)
 
 
 def followed_by_link(mbps_by_id):
@@ -112,8 +112,8 @@
     found = {}
     for box_id, own_mbps in mbps_by_id.items():
         relays = HallRelays(own_id=box_id, hall="north", own_mbps=own_mbps)
-        mates = [peer(other, mbps) for other, mbps in mbps_by_id.items() if other != box_id]
-        mate = relays.to_follow(mates, 0.0)
+        hall_peers = [peer(other, mbps) for other, mbps in mbps_by_id.items() if other != box_id]
+        mate = relays.relay_to_ask(hall_peers, 0.0)
         found[box_id] = mate.id if mate is not None else None
     return found
 
@@ -128,10 +128,12 @@
 
 def test_one_wide_link_is_joined_by_the_first_of_the_others():
     found = followed_by_link({box: 100.0 if box == IDS[3] else 5.0 for box in IDS})
-    first = next(box for box in rank("north", IDS) if box != IDS[3])
+    first = next(box for box in rank_nodes("north", IDS) if box != IDS[3])
     assert {box for box, relay in found.items() if relay is None} == {IDS[3], first}
 
 
 def test_links_that_differ_little_change_nothing():
     found = followed_by_link({box: 90.0 + number for number, box in enumerate(IDS)})
-    assert {box for box, relay in found.items() if relay is None} == set(rank("north", IDS)[:2])
+    assert {box for box, relay in found.items() if relay is None} == set(
+        rank_nodes("north", IDS)[:2]
+    )
--- a/tests/systems/test_lent_shares.py
+++ b/tests/systems/test_lent_shares.py
@@ -14,10 +14,10 @@
 from croftchute.bench.limit_world import CREW, TERMS, LimitWorld, crew_limit
 from croftchute.systems.allowance_pool import LEASE_S
 from croftchute.systems.fleet_size import FleetSize
-from croftchute.systems.lent_share import SETTLING_S, LentShare
+from croftchute.systems.lent_share import CONVERGENCE_S, LentShare
 from croftchute.systems.usage_bucket import UsageBucket
 
-FLOOD = 400_000.0
+FLOOD_TOKENS_PER_S = 400_000.0
 """Tokens a second: four times the limit, as one organisation at seven times its usual asks."""
 
 
@@ -64,7 +64,7 @@
 @pytest.mark.parametrize("through", [None, ["b0", "b1", "b2"], ["b7"]])
 def test_a_flood_gets_its_limit_and_not_more(through):
     world = world_with_leases(boxes=24)
-    world.load(5.0, 30.0, FLOOD, through=through)
+    world.load(5.0, 30.0, FLOOD_TOKENS_PER_S, through=through)
     world.run(31.0)
     assert world.most_in_a_window() <= allowed(world)
     served = sum(units for when, units in world.taken if when > 15.0)
@@ -75,7 +75,7 @@
 def test_cut_halls_together_stay_within_the_limit_and_each_goes_on(cut_for_s):
     world = world_with_leases(boxes=24)
     hall = {f"b{n}" for n in range(8)}
-    world.load(5.0, 30.0, FLOOD)
+    world.load(5.0, 30.0, FLOOD_TOKENS_PER_S)
 
     def cut(is_cut):
         world.apart = (lambda a, b: (a in hall) != (b in hall)) if is_cut else (lambda a, b: False)
@@ -91,7 +91,7 @@
 
 def test_links_that_carry_one_way_only_give_nothing_twice():
     world = world_with_leases(boxes=12)
-    world.load(5.0, 30.0, FLOOD)
+    world.load(5.0, 30.0, FLOOD_TOKENS_PER_S)
     deaf = {"b1", "b2", "b3", "b4"}
     world.at(10.0, lambda: setattr(world, "apart", lambda a, b: a not in deaf and b in deaf))
     world.at(20.0, lambda: setattr(world, "apart", lambda a, b: False))
@@ -101,7 +101,7 @@
 
 def test_a_power_loss_of_all_boxes_is_no_new_credit():
     world = world_with_leases(boxes=12)
-    world.load(5.0, 30.0, FLOOD)
+    world.load(5.0, 30.0, FLOOD_TOKENS_PER_S)
     for when in (10.0, 13.0, 16.0):
         world.at(when, lambda: [world.start(f"b{n}") for n in range(12)])
     world.run(31.0)
@@ -138,7 +138,7 @@
     """All boxes lose power while a hall is cut off, and know nobody beyond the cut."""
     size = FleetSize(recorded=recorded)
     world = world_with_leases(boxes=12, size=size, counts_by_sight=True)
-    world.load(5.0, 30.0, FLOOD)
+    world.load(5.0, 30.0, FLOOD_TOKENS_PER_S)
     hall = {f"b{n}" for n in range(5)}
 
     def cut(is_cut):
@@ -162,12 +162,12 @@
 def test_shares_come_together_some_time_after_a_start_and_after_the_silence_of_a_pool():
     share = LentShare(own_id="b1", group=0, started_at=5.0)
     others = ["b2", "b3"]
-    assert share.settles_at == 5.0 + SETTLING_S
-    pool = share.asked(others, 0.5, 20.0).pool
+    assert share.converges_at == 5.0 + CONVERGENCE_S
+    pool = share.renew_lease(others, 0.5, 20.0).pool
     for when in (20.1, 20.2):
-        share.asked(others, 0.5, when)
-    assert share.unanswered(pool, 20.3)
-    assert share.settles_at == 20.3 + SETTLING_S
+        share.renew_lease(others, 0.5, when)
+    assert share.note_timeout(pool, 20.3)
+    assert share.converges_at == 20.3 + CONVERGENCE_S
 
 
 def test_the_end_of_a_pool_costs_two_seconds_of_its_group():
@@ -187,7 +187,7 @@
 
 def test_a_box_that_wakes_after_five_seconds_has_no_share_from_before():
     world = world_with_leases(boxes=12)
-    world.load(5.0, 30.0, FLOOD)
+    world.load(5.0, 30.0, FLOOD_TOKENS_PER_S)
 
     def pause_the_pool():
         world.by_id[world.by_id["b0"].share.pool].paused_until = world.now + 5.0
@@ -200,7 +200,7 @@
 
 def test_a_limit_lowered_far_below_use_holds_at_once_and_a_raised_one_too():
     world = world_with_leases(boxes=12)
-    world.load(5.0, 38.0, FLOOD)
+    world.load(5.0, 38.0, FLOOD_TOKENS_PER_S)
     world.at(15.0, lambda: setattr(world, "limit", crew_limit(20_000.0, 20_000.0)))
     world.run(24.0)
     assert world.limit.rate_per_s == 20_000.0
@@ -224,7 +224,7 @@
 def most_given(suspended_s, *, stands_still):
     """The most in a window when the pool's machine is suspended again and again."""
     world = world_with_leases(boxes=12)
-    world.load(5.0, 40.0, FLOOD)
+    world.load(5.0, 40.0, FLOOD_TOKENS_PER_S)
 
     def suspend_the_pool():
         pool = world.by_id["b0"].share.pool
@@ -258,14 +258,14 @@
 )
 def test_no_interleaving_gives_more_than_the_limit(seed, loss, repeats, delay, events):
     world = world_with_leases(seed=seed, loss=loss, repeats=repeats, delay_s=(0.001, delay))
-    world.load(4.0, 30.0, FLOOD)
+    world.load(4.0, 30.0, FLOOD_TOKENS_PER_S)
     for kind, when, n in events:
-        world.at(when, lambda kind=kind, n=n: happen(world, kind, n))
+        world.at(when, lambda kind=kind, n=n: apply_event(world, kind, n))
     world.run(31.0)
     assert world.most_in_a_window() <= allowed(world)
 
 
-def happen(world, kind, n):
+def apply_event(world, kind, n):
     box_id = f"b{n}"
     some = {f"b{m}" for m in range(n)}
     if kind == "cut":
--- a/tests/systems/test_owner.py
+++ b/tests/systems/test_owner.py
@@ -18,7 +18,7 @@
 from croftchute.systems.cancels import Cancels
 from croftchute.systems.owner import Owner
 from croftchute.systems.sharding import build_topology
-from croftchute.systems.strangers import GRACE_S
+from croftchute.systems.unknown_attempts import UNKNOWN_GRACE_S
 from croftchute.tables.rows import changed
 from croftchute.tables.upstreams import EngineReport
 
@@ -130,7 +130,7 @@
     )
     engine = owner.engine_ids()[0]
     assert not cancelled(owner.report(engine, report, (), 5.0))
-    late = changed(report, as_of=5.1 + GRACE_S)
+    late = changed(report, as_of=5.1 + UNKNOWN_GRACE_S)
     assert cancelled(owner.report(engine, late, (), 8.0)) == {(engine, "x-1")}
 
 
