--- a/tests/systems/test_peer_table.py
+++ b/tests/systems/test_peer_table.py
@@ -8,7 +8,7 @@
     FORGET_S,
     FRESH_S,
     HALL_FANOUT,
-    HALL_SILENT_S,
+    HALL_TIMEOUT_S,
     PeerTable,
 )
 from croftchute.systems.stage_balance import DemandCounts
@@ -38,7 +38,7 @@
 
 def test_a_notice_counts_while_it_is_fresh():
     table = PeerTable(own_id="me")
-    assert table.hear("b", NOTICE, 0.0)
+    assert table.apply_notice("b", NOTICE, 0.0)
     assert table.in_flight("w", 1.0) == 2
     assert table.failures("w", 1.0) == 1.5
     told = DemandCounts(
@@ -52,28 +52,28 @@
 def test_boxes_whose_demand_counts_are_counted_for_as_long():
     """Demand is scaled by this count: another time limit than that of the sum would skew it."""
     table = PeerTable(own_id="me")
-    table.hear("b", NOTICE, 0.0)
-    table.hear("c", NOTICE, 1.0)
+    table.apply_notice("b", NOTICE, 0.0)
+    table.apply_notice("c", NOTICE, 1.0)
     assert [table.fresh_boxes(now) for now in (1.0, FRESH_S + 0.5, FRESH_S + 1.1)] == [2, 1, 0]
     assert table.demand("s", FRESH_S + 0.5).asks == 10
 
 
 def test_an_earlier_life_of_a_box_is_not_heard():
     table = PeerTable(own_id="me")
-    table.hear("b", NOTICE, 0.0)
-    assert not table.hear("b", replace(NOTICE, started_at=50.0, config_version=9), 1.0)
+    table.apply_notice("b", NOTICE, 0.0)
+    assert not table.apply_notice("b", replace(NOTICE, started_at=50.0, config_version=9), 1.0)
     assert table.peers_by_id["b"].config_version == 3
 
 
 def test_its_own_notice_is_not_a_peer():
     table = PeerTable(own_id="me")
-    assert not table.hear("me", NOTICE, 0.0)
+    assert not table.apply_notice("me", NOTICE, 0.0)
     assert table.boxes(0.0) == 1
 
 
 def test_boxes_are_counted_for_some_seconds_and_forgotten_later():
     table = PeerTable(own_id="me")
-    table.hear("b", NOTICE, 0.0)
+    table.apply_notice("b", NOTICE, 0.0)
     assert table.boxes(COUNTED_S - 1.0) == 2
     assert table.boxes(COUNTED_S + 1.0) == 1
     assert table.forget(FORGET_S + 1.0) == ["b"]
@@ -82,7 +82,7 @@
 def test_a_large_fleet_costs_a_bounded_number_of_notices():
     table = PeerTable(own_id="me", seeds=(("10.9.9.9", 1),))
     for number in range(400):
-        table.hear(f"box-{number}", replace(NOTICE, host=f"10.0.1.{number}"), 0.0)
+        table.apply_notice(f"box-{number}", replace(NOTICE, host=f"10.0.1.{number}"), 0.0)
     assert len(table.targets(0.5, random.Random(1))) == FANOUT
     assert len(table.introduced(0.5, random.Random(1))) == 4
 
@@ -94,8 +94,8 @@
 
 def test_the_newest_peers_are_found_among_the_live():
     table = PeerTable(own_id="me")
-    table.hear("old", NOTICE, 0.0)
-    table.hear("new", replace(NOTICE, config_version=4, workers_revision=2), 0.0)
+    table.apply_notice("old", NOTICE, 0.0)
+    table.apply_notice("new", replace(NOTICE, config_version=4, workers_revision=2), 0.0)
     by_config, by_workers = table.newest(0.5, random.Random(1))
     assert by_config is not None and by_config.id == "new"
     assert by_workers is not None and by_workers.id == "old"
@@ -105,9 +105,9 @@
 def test_what_some_boxes_told_stands_for_all():
     """Averages do not depend on how many peers were heard lately."""
     table = PeerTable(own_id="me")
-    table.hear("b", NOTICE, 0.0)
-    table.hear("c", NOTICE, 5.0)
-    table.hear("d", NOTICE, 5.0)
+    table.apply_notice("b", NOTICE, 0.0)
+    table.apply_notice("c", NOTICE, 5.0)
+    table.apply_notice("d", NOTICE, 5.0)
     assert table.boxes(6.0) == 4
     all_heard, two_heard = table.demand("s", 0.5), table.demand("s", 6.0)
     assert (all_heard.asks, two_heard.asks) == (30, 20)
@@ -118,8 +118,8 @@
 def test_the_longest_wait_that_peers_told_of_fades():
     table = PeerTable(own_id="me")
     told = replace(NOTICE, workers=(WorkerNotice(worker="p", in_flight=1, failures=0, wait_s=0.8),))
-    table.hear("b", told, 0.0)
-    table.hear("c", NOTICE, 0.0)
+    table.apply_notice("b", told, 0.0)
+    table.apply_notice("c", NOTICE, 0.0)
     assert table.prefill_wait_s("p", 0.0) == 0.8
     assert table.prefill_wait_s("p", 0.5) == 0.4
     assert table.prefill_wait_s("p", 10.0) == 0.0
@@ -129,7 +129,9 @@
     table = PeerTable(own_id="me", hall="north")
     for number in range(60):
         hall = "north" if number % 3 == 0 else "south"
-        table.hear(f"box-{number}", replace(NOTICE, host=f"10.0.1.{number}", hall=hall), 0.0)
+        table.apply_notice(
+            f"box-{number}", replace(NOTICE, host=f"10.0.1.{number}", hall=hall), 0.0
+        )
     north = {p.host for p in table.peers_by_id.values() if p.hall == "north"}
     targets = table.targets(0.5, random.Random(1))
     assert len(targets) == FANOUT
@@ -140,7 +142,9 @@
     table = PeerTable(own_id="me", hall="north")
     for number in range(60):
         hall = "north" if number < 2 else "south"
-        table.hear(f"box-{number}", replace(NOTICE, host=f"10.0.1.{number}", hall=hall), 0.0)
+        table.apply_notice(
+            f"box-{number}", replace(NOTICE, host=f"10.0.1.{number}", hall=hall), 0.0
+        )
     assert len(table.targets(0.5, random.Random(1))) == FANOUT
 
 
@@ -150,7 +154,7 @@
         table = PeerTable(own_id="me", hall="north")
         for number in range(8):
             hall = "north" if number < 4 else "south"
-            table.hear(f"box-{number}", replace(NOTICE, hall=hall), 0.0)
+            table.apply_notice(f"box-{number}", replace(NOTICE, hall=hall), 0.0)
         by_config, _ = table.newest(0.5, random.Random(seed))
         asked.add(by_config.id)
     assert asked == {f"box-{number}" for number in range(4)}
@@ -159,11 +163,13 @@
 def test_a_box_that_is_leaving_is_asked_only_for_what_no_other_knows():
     """It may end in the middle of its answer; but it may be the first that the store told."""
     table = PeerTable(own_id="me", hall="north")
-    table.hear("leaving", replace(NOTICE, config_version=9, hall="north", is_leaving=True), 0.0)
-    table.hear("staying", replace(NOTICE, config_version=8), 0.0)
+    table.apply_notice(
+        "leaving", replace(NOTICE, config_version=9, hall="north", is_leaving=True), 0.0
+    )
+    table.apply_notice("staying", replace(NOTICE, config_version=8), 0.0)
     by_config, _ = table.newest(0.5, random.Random(1))
     assert by_config is not None and by_config.id == "leaving"
-    table.hear("staying", replace(NOTICE, config_version=9), 0.1)
+    table.apply_notice("staying", replace(NOTICE, config_version=9), 0.1)
     by_config, _ = table.newest(0.5, random.Random(1))
     assert by_config is not None and by_config.id == "staying"
 
@@ -173,7 +179,7 @@
     table = PeerTable(own_id="me", hall="north")
     for hall in ("north", "south"):
         for number, ago_s in enumerate((0.1, 9.0, 30.0)):
-            table.hear(f"{hall}-{number}", replace(NOTICE, hall=hall), now - ago_s)
+            table.apply_notice(f"{hall}-{number}", replace(NOTICE, hall=hall), now - ago_s)
     return table
 
 
@@ -182,26 +188,26 @@
     now = 100.0
     table = two_halls(now)
     assert len(table.reachable(now)) == 6
-    table.hear("gone", replace(NOTICE, hall="south"), now - FORGET_S - 1.0)
-    table.hear("leaving", replace(NOTICE, hall="south", is_leaving=True), now)
+    table.apply_notice("gone", replace(NOTICE, hall="south"), now - FORGET_S - 1.0)
+    table.apply_notice("leaving", replace(NOTICE, hall="south", is_leaving=True), now)
     assert len(table.reachable(now)) == 6
 
 
 def test_a_hall_that_fell_silent_is_not_reachable_until_it_is_heard_again():
     now = 100.0
     table = two_halls(now)
-    later = now + HALL_SILENT_S
-    table.hear("north-1", replace(NOTICE, hall="north"), later)
+    later = now + HALL_TIMEOUT_S
+    table.apply_notice("north-1", replace(NOTICE, hall="north"), later)
     assert sorted(table.reachable(later)) == ["north-0", "north-1", "north-2"]
-    table.hear("south-2", replace(NOTICE, hall="south"), later + 0.1)
+    table.apply_notice("south-2", replace(NOTICE, hall="south"), later + 0.1)
     assert len(table.reachable(later + 0.1)) == 6
 
 
 def test_a_box_that_hears_nobody_reaches_nobody():
-    assert two_halls(100.0).reachable(100.0 + 2 * HALL_SILENT_S) == []
+    assert two_halls(100.0).reachable(100.0 + 2 * HALL_TIMEOUT_S) == []
 
 
-def told_naively(table, worker_id, now):
+def entries_by_full_scan(table, worker_id, now):
     """What a look through all that each peer told finds."""
     return [
         entry
@@ -224,11 +230,13 @@
             for n in rng.sample(range(6), rng.randrange(4))
         )
         peer = f"b{rng.randrange(9)}"
-        table.hear(peer, replace(NOTICE, started_at=100.0 + rng.randrange(3), workers=told), now)
+        table.apply_notice(
+            peer, replace(NOTICE, started_at=100.0 + rng.randrange(3), workers=told), now
+        )
         if rng.random() < 0.1:
             table.forget(now)
         for n in range(6):
-            naive = told_naively(table, f"w{n}", now)
+            naive = entries_by_full_scan(table, f"w{n}", now)
             assert table.in_flight(f"w{n}", now) == sum(entry.in_flight for entry in naive)
             assert table.failures(f"w{n}", now) == sum(entry.failures for entry in naive)
 
@@ -237,11 +245,11 @@
     table = PeerTable(own_id="me")
     address, moved = ("10.0.0.2", 7000), ("10.0.0.9", 7000)
     assert not table.knows(address)
-    table.hear("b", NOTICE, 0.0)
+    table.apply_notice("b", NOTICE, 0.0)
     assert table.knows(address)
-    table.hear("b", replace(NOTICE, started_at=101.0, host="10.0.0.9"), 1.0)
+    table.apply_notice("b", replace(NOTICE, started_at=101.0, host="10.0.0.9"), 1.0)
     assert not table.knows(address) and table.knows(moved)
-    table.hear("c", replace(NOTICE, host="10.0.0.9"), 2.0)
+    table.apply_notice("c", replace(NOTICE, host="10.0.0.9"), 2.0)
     table.forget(1.5 + FORGET_S)
     assert table.knows(moved)
     table.forget(2.5 + FORGET_S)
--- a/tests/systems/test_predicted_end.py
+++ b/tests/systems/test_predicted_end.py
@@ -22,12 +22,12 @@
 )
 from croftchute.systems.prefill_pace import PrefillPace
 from croftchute.systems.tracked_worker import TrackedWorker
-from croftchute.systems.worker_choice import Surroundings, choose
+from croftchute.systems.worker_choice import ChoiceContext, choose
 from croftchute.systems.worker_table import WorkerTable
 from croftchute.tables.paces import PaceEstimate, PaceSource, PredictedEnd
 from croftchute.tables.routing import Stage, Worker
 
-AROUND = Surroundings(zone="near", peers=PeerTable(own_id="me"))
+CONTEXT = ChoiceContext(zone="near", peers=PeerTable(own_id="me"))
 READING = PrefillPace(fixed_s=0.1, pace=50_000.0)
 USUAL = UsualTimes(answer_s=0.1, stream_s=5.0, pause_s=0.02, prompt_s=0.2, full_prompts_s=0.5)
 
@@ -54,30 +54,30 @@
     return PaceEstimate(factor=factor, source=PaceSource.TOLD, age_s=age_s)
 
 
-def plain(known, *, factor=1.0, now=10.0, around=AROUND):
-    return plain_end(known, usual_s=0.1, around=around, pace=pace(factor), now=now)
+def plain(known, *, factor=1.0, now=10.0, context=CONTEXT):
+    return plain_end(known, usual_s=0.1, context=context, pace=pace(factor), now=now)
 
 
-def decode(known, *, factor=1.0, gap_s=0.3, around=AROUND):
+def decode(known, *, factor=1.0, gap_s=0.3, context=CONTEXT):
     return decode_end(
         known,
         usual=USUAL,
         target_s=0.9,
         target_gap_s=gap_s,
-        around=around,
+        context=context,
         pace=pace(factor),
         now=10.0,
     )
 
 
-def prefill(known, *, factor=1.0, now=10.0, told_wait_s=0.0, around=AROUND):
+def prefill(known, *, factor=1.0, now=10.0, told_wait_s=0.0, context=CONTEXT):
     return prefill_end(
         known,
         prompt_tokens=5_000,
         usual=USUAL,
         reading=READING,
         told_wait_s=told_wait_s,
-        around=around,
+        context=context,
         pace=pace(factor),
         now=now,
     )
@@ -122,8 +122,8 @@
     """Guards against asking engines for holds that are known to be full."""
     known = tracked(slots=8, stage=Stage.DECODE)
     known.in_flight, known.tokens_in_flight = 2, 5_000
-    around = Surroundings(zone="near", peers=PeerTable(own_id="me"), kv_tokens=20_000)
-    assert decode(known, around=around).wait_s == pytest.approx(0.5 * 5.0)
+    context = ChoiceContext(zone="near", peers=PeerTable(own_id="me"), kv_tokens=20_000)
+    assert decode(known, context=context).wait_s == pytest.approx(0.5 * 5.0)
 
 
 def test_a_prompt_waits_for_those_that_a_fresh_probe_told_and_for_those_sent_since():
@@ -168,8 +168,8 @@
     usual_s = of(known).work_s
     known.failures, known.failed_at = 1.0, 10.0
     assert of(known).failure_s >= usual_s
-    around = Surroundings(zone="near", peers=PeersThatFailed(50.0))
-    assert of(tracked(), around=around).failure_s >= 1.6 * usual_s
+    context = ChoiceContext(zone="near", peers=PeersThatFailed(50.0))
+    assert of(tracked(), context=context).failure_s >= 1.6 * usual_s
 
 
 def test_an_end_tells_its_parts_to_the_log():
@@ -241,13 +241,13 @@
 
     def picks(now):
         ends = {name: plain(known[name], now=now) for name in known}
-        doubtful = {name for name in known if is_doubtful(known[name], AROUND, now)}
+        doubtful = {name for name in known if is_doubtful(known[name], CONTEXT, now)}
         return {draw_by_end(ends, doubtful, random.Random(seed)) for seed in range(200)}
 
     def by_cost(now):
         usable = table.usable("s", now)
         found = (
-            choose(usable, around=AROUND, avoid=(), now=now, rng=random.Random(seed))
+            choose(usable, context=CONTEXT, avoid=(), now=now, rng=random.Random(seed))
             for seed in range(200)
         )
         return {one[0].worker.id for one in found}
@@ -264,9 +264,9 @@
     known.failures, known.failed_at = 4.0, 10.0
     assert draw_by_end({"a": plain(known)}, {"a"}, random.Random(1)) == "a"
     sound = tracked("b")
-    kept = without_doubtful([known, sound], around=AROUND, now=10.0, least=1)
+    kept = without_doubtful([known, sound], context=CONTEXT, now=10.0, least=1)
     assert kept == [sound]
-    assert len(without_doubtful([known, sound], around=AROUND, now=10.0, least=3)) == 2
+    assert len(without_doubtful([known, sound], context=CONTEXT, now=10.0, least=3)) == 2
 
 
 # Herding: boxes that choose by the same news, half a second old.
@@ -331,7 +331,7 @@
             name: plain_end(
                 views[box][name],
                 usual_s=USUAL_S,
-                around=AROUND,
+                context=CONTEXT,
                 pace=pace(told[name], NEWS_AGE_S),
                 now=now,
             )
--- a/tests/systems/test_worker_wishes.py
+++ b/tests/systems/test_worker_advice.py
@@ -2,8 +2,13 @@
 
 from croftchute.storage.watched import StoredItem
 from croftchute.systems.tracked_worker import GONE_GRACE_S
+from croftchute.systems.worker_advice import (
+    LEAVING_TTL_S,
+    MAX_LEAVING_WORKERS,
+    MAX_REQUESTS_IN_BACKOFF,
+    WorkerAdviceTable,
+)
 from croftchute.systems.worker_table import WorkerTable
-from croftchute.systems.worker_wishes import LAST_RESORTS, LEAVING_KEPT_S, MAX_KEPT, WorkerWishes
 from croftchute.tables.routing import Stage, Worker, WorkerState
 
 ALLOWED_IN_A_REST = 2
@@ -38,7 +43,7 @@
 
 def test_a_worker_that_leaves_is_used_only_while_no_other_is_left_and_not_for_long():
     table = table_of(worker("a"), worker("b"))
-    table.wishes.note_leaving("a", 10.0)
+    table.advice.note_leaving("a", 10.0)
     assert usable(table, 10.0) == ["b"]
     table.remove(["b"], 10.0)
     assert usable(table, 10.0 + GONE_GRACE_S) == ["a", "b"]
@@ -47,7 +52,7 @@
 
 def test_its_entry_does_not_take_back_what_a_worker_said():
     table = table_of(worker("a"), worker("b"))
-    table.wishes.note_leaving("a", 1.0)
+    table.advice.note_leaving("a", 1.0)
     item = StoredItem(key="servers/a", value=b"", revision=90)
     table.upsert(worker("a"), 2.0, item)
     assert usable(table, 2.0) == ["b"]
@@ -62,7 +67,7 @@
 
 def test_a_worker_that_leaves_is_remembered_while_it_is_not_listed():
     table = table_of(worker("a"), worker("b"))
-    table.wishes.note_leaving("a", 1.0)
+    table.advice.note_leaving("a", 1.0)
     table.remove(["a"], 2.0)
     table.sweep(20.0)
     assert "a" not in table.tracked_by_id
@@ -72,66 +77,66 @@
 
 def test_a_new_life_of_a_worker_does_not_leave_with_the_old_one():
     table = table_of(worker("a", born=1), worker("b"))
-    table.wishes.note_leaving("a@1", 1.0)
-    table.wishes.note_rest("a@1", 60.0, 1.0)
+    table.advice.note_leaving("a@1", 1.0)
+    table.advice.note_backoff("a@1", 60.0, 1.0)
     table.upsert(worker("a", born=2), 2.0)
     assert usable(table, 2.0) == ["a@2", "b"]
 
 
 def test_what_peers_tell_of_leaving_makes_no_last_resort():
     table = table_of(worker("a"))
-    table.wishes.note_leaving("a", 1.0, known_for_s=float("inf"))
+    table.advice.note_leaving("a", 1.0, known_for_s=float("inf"))
     assert usable(table, 1.0) == []
 
 
 def test_resting_workers_are_passed_over_until_their_time_is_over():
     table = table_of(worker("a"), worker("b"))
-    table.wishes.note_rest("a", 3.0, 10.0)
+    table.advice.note_backoff("a", 3.0, 10.0)
     assert usable(table, 12.9) == ["b"]
     assert usable(table, 13.0) == ["a", "b"]
-    assert table.rest_left_s("s", 11.0) == 0.0
+    assert table.backoff_left_s("s", 11.0) == 0.0
 
 
 def test_where_all_rest_each_gets_few_requests_whatever_it_answers():
     table = table_of(worker("a"))
-    table.wishes.note_rest("a", 3.0, 0.0)
+    table.advice.note_backoff("a", 3.0, 0.0)
     sent = 0
     for now in (step / 10.0 for step in range(30)):
         if usable(table, now):
             sent += 1
-            table.wishes.note_sent("a", now)
-            table.wishes.note_rest("a", 3.0, now)
-    assert sent == LAST_RESORTS < ALLOWED_IN_A_REST
+            table.advice.note_sent("a", now)
+            table.advice.note_backoff("a", 3.0, now)
+    assert sent == MAX_REQUESTS_IN_BACKOFF < ALLOWED_IN_A_REST
     assert usable(table, 2.99) == []
 
 
 def test_what_is_told_as_the_time_of_return_is_the_first_end_of_a_rest():
     table = table_of(worker("a"), worker("b"))
-    table.wishes.note_rest("a", 3.0, 0.0)
-    table.wishes.note_rest("b", 5.0, 0.0)
-    assert table.rest_left_s("s", 1.0) == 2.0
+    table.advice.note_backoff("a", 3.0, 0.0)
+    table.advice.note_backoff("b", 5.0, 0.0)
+    assert table.backoff_left_s("s", 1.0) == 2.0
 
 
 def test_engines_that_rest_are_no_last_resort_as_a_stream_takes_two_sendings():
     table = table_of(worker("a", stage=Stage.DECODE))
-    table.wishes.note_rest("a", 3.0, 0.0)
+    table.advice.note_backoff("a", 3.0, 0.0)
     assert usable(table, 1.0, stage=Stage.DECODE) == []
-    assert table.rest_left_s("s", 1.0, stage=Stage.DECODE) == 2.0
-    assert table.rest_left_s("s", 1.0, stage=Stage.PREFILL) == 0.0
+    assert table.backoff_left_s("s", 1.0, stage=Stage.DECODE) == 2.0
+    assert table.backoff_left_s("s", 1.0, stage=Stage.PREFILL) == 0.0
 
 
 def test_a_shorter_rest_does_not_end_a_longer_one():
-    wishes = WorkerWishes()
-    wishes.note_rest("a", 10.0, 0.0)
-    wishes.note_rest("a", 1.0, 1.0)
-    assert wishes.rest_left_s("a", 5.0) == 5.0
+    advice = WorkerAdviceTable()
+    advice.note_backoff("a", 10.0, 0.0)
+    advice.note_backoff("a", 1.0, 1.0)
+    assert advice.backoff_left_s("a", 5.0) == 5.0
 
 
 def test_wishes_are_bounded_and_forgotten():
-    wishes = WorkerWishes()
-    for n in range(MAX_KEPT + 1):
-        wishes.note_leaving(f"w{n}", float(n))
-    assert len(wishes.leaving_by_id) == MAX_KEPT
-    assert not wishes.is_leaving("w0")
-    wishes.sweep(MAX_KEPT + LEAVING_KEPT_S + 1.0, listed={"w7"})
-    assert list(wishes.leaving_by_id) == ["w7"]
+    advice = WorkerAdviceTable()
+    for n in range(MAX_LEAVING_WORKERS + 1):
+        advice.note_leaving(f"w{n}", float(n))
+    assert len(advice.leaving_by_id) == MAX_LEAVING_WORKERS
+    assert not advice.is_leaving("w0")
+    advice.sweep(MAX_LEAVING_WORKERS + LEAVING_TTL_S + 1.0, listed={"w7"})
+    assert list(advice.leaving_by_id) == ["w7"]
--- a/tests/systems/test_worker_choice.py
+++ b/tests/systems/test_worker_choice.py
@@ -2,16 +2,16 @@
 
 from croftchute.systems.peer_table import PeerTable
 from croftchute.systems.worker_choice import (
-    SAMPLE,
-    Surroundings,
-    by_affinity,
+    MAX_CANDIDATES,
+    ChoiceContext,
     choose,
     pick_service,
+    rank_by_affinity,
 )
 from croftchute.systems.worker_table import WorkerTable
 from croftchute.tables.routing import Route, RouteKind, Stage, WeightedService, Worker
 
-AROUND = Surroundings(zone="near", peers=PeerTable(own_id="me"))
+CONTEXT = ChoiceContext(zone="near", peers=PeerTable(own_id="me"))
 
 
 def table_of(*workers):
@@ -25,9 +25,9 @@
     return Worker(id=name, service="s", host="h", port=1, zone=zone, slots=slots, stage=stage)
 
 
-def chosen(table, *, avoid=(), now=0.0, seed=1, around=AROUND):
+def chosen(table, *, avoid=(), now=0.0, seed=1, context=CONTEXT):
     found = choose(
-        table.usable("s", now), around=around, avoid=avoid, now=now, rng=random.Random(seed)
+        table.usable("s", now), context=context, avoid=avoid, now=now, rng=random.Random(seed)
     )
     return found[0].worker.id if found else None
 
@@ -78,8 +78,8 @@
 def test_the_memory_of_streams_counts_for_engines():
     table = table_of(worker("a", slots=128, stage=Stage.DECODE), worker("b", slots=128))
     table.note_sent("a", 9000)
-    around = Surroundings(zone="near", peers=PeerTable(own_id="me"), kv_tokens=10000)
-    assert chosen(table, around=around) == "b"
+    context = ChoiceContext(zone="near", peers=PeerTable(own_id="me"), kv_tokens=10000)
+    assert chosen(table, context=context) == "b"
 
 
 def test_services_are_picked_by_weight():
@@ -107,12 +107,12 @@
 
     def choice(seed):
         found = choose(
-            usable, around=AROUND, avoid=(), now=0.0, rng=random.Random(seed), affinity="91bd"
+            usable, context=CONTEXT, avoid=(), now=0.0, rng=random.Random(seed), affinity="91bd"
         )
         return found[0].worker.id
 
-    preferred = {tracked.worker.id for tracked in by_affinity(usable, "91bd")[:SAMPLE]}
+    preferred = {tracked.worker.id for tracked in rank_by_affinity(usable, "91bd")[:MAX_CANDIDATES]}
     found = {choice(seed) for seed in range(60)}
-    assert found <= preferred and len(found) > SAMPLE // 2
-    others = {tracked.worker.id for tracked in by_affinity(usable, "5c1e")[:SAMPLE]}
+    assert found <= preferred and len(found) > MAX_CANDIDATES // 2
+    others = {tracked.worker.id for tracked in rank_by_affinity(usable, "5c1e")[:MAX_CANDIDATES]}
     assert others != preferred
--- a/tests/systems/test_worker_rates.py
+++ b/tests/systems/test_worker_rates.py
@@ -9,7 +9,7 @@
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from test_lent_shares import happen
+from test_lent_shares import apply_event
 
 from croftchute.bench.limit_world import LimitWorld
 from croftchute.forwarding.boxes.worker_permits import MIN_RATE_PER_S, WORKER_TERMS, usage_limit
@@ -27,7 +27,7 @@
     return 1.5 * per_s * 4.0 + 5.0
 
 
-def flooded(per_s, *, boxes, seed=1, over=4.0, through=None, **options):
+def overloaded_world(per_s, *, boxes, seed=1, over=4.0, through=None, **options):
     world = LimitWorld(
         seed=seed, boxes=boxes, limit=usage_limit(per_s), terms=WORKER_TERMS, **options
     )
@@ -37,7 +37,7 @@
     return world
 
 
-def use(world, per_s):
+def used_share(world, per_s):
     """The part of a limit that was used, once shares had come together."""
     used = sum(units for when, units in world.taken if when >= USE_BEGINS)
     return used / (per_s * (ENDS - USE_BEGINS))
@@ -46,20 +46,20 @@
 @pytest.mark.parametrize("per_s", [0.5, 2.0, 10.0, 50.0])
 @pytest.mark.parametrize("boxes", [1, 8, 40])
 def test_all_boxes_together_keep_the_limit_and_use_most_of_it(per_s, boxes):
-    world = flooded(per_s, boxes=boxes)
+    world = overloaded_world(per_s, boxes=boxes)
     world.run(ENDS)
     assert world.most_in_a_window() <= allowed(per_s)
-    assert use(world, per_s) >= GOOD_USE
+    assert used_share(world, per_s) >= GOOD_USE
 
 
 def test_callers_at_one_box_of_many_get_the_whole_limit():
-    world = flooded(2.0, boxes=40, through=["b7"])
+    world = overloaded_world(2.0, boxes=40, through=["b7"])
     world.run(ENDS)
-    assert use(world, 2.0) >= GOOD_USE
+    assert used_share(world, 2.0) >= GOOD_USE
 
 
 def test_a_limit_of_nothing_still_lets_a_call_through_that_tells_whether_it_holds():
-    world = flooded(0.0, boxes=8)
+    world = overloaded_world(0.0, boxes=8)
     world.run(ENDS)
     assert 0 < sum(units for _, units in world.taken) <= MIN_RATE_PER_S * ENDS + 3.0
     assert world.most_in_a_window() <= allowed(0.0)
@@ -67,7 +67,7 @@
 
 @pytest.mark.parametrize("lower", [0.5, 2.0])
 def test_a_limit_that_falls_holds_within_a_window(lower):
-    world = flooded(12.0, boxes=8)
+    world = overloaded_world(12.0, boxes=8)
     world.at(15.0, lambda: setattr(world, "limit", usage_limit(lower)))
     world.run(ENDS)
     late = [(when, units) for when, units in world.taken if when >= 15.1]
@@ -76,7 +76,7 @@
 
 
 def test_a_limit_that_rises_is_used_soon():
-    world = flooded(2.0, boxes=8, over=40.0)
+    world = overloaded_world(2.0, boxes=8, over=40.0)
     world.at(15.0, lambda: setattr(world, "limit", usage_limit(12.0)))
     world.run(ENDS)
     soon = sum(units for when, units in world.taken if 16.0 <= when < 20.0)
@@ -84,16 +84,16 @@
 
 
 def test_halls_that_are_cut_off_keep_the_limit_together_and_use_it():
-    world = flooded(2.0, boxes=8)
+    world = overloaded_world(2.0, boxes=8)
     hall = {"b0", "b1", "b2"}
     world.at(10.0, lambda: setattr(world, "apart", lambda a, b: (a in hall) != (b in hall)))
     world.at(25.0, lambda: setattr(world, "apart", lambda a, b: False))
     world.run(ENDS)
     assert world.most_in_a_window() <= allowed(2.0)
-    assert use(world, 2.0) >= GOOD_USE
+    assert used_share(world, 2.0) >= GOOD_USE
 
 
-def by_itself(per_s, boxes, share):
+def max_calls_with_local_limits(per_s, boxes, share):
     """The most calls in 4 s where each box keeps some share of the limit by itself."""
     rng = random.Random(1)
     limit = usage_limit(per_s)
@@ -111,11 +111,11 @@
 
 @pytest.mark.parametrize("boxes", [3, 8])
 def test_the_naive_way_in_which_each_box_keeps_the_limit_by_itself_breaks_it(boxes):
-    assert by_itself(2.0, boxes, 1.0) > allowed(2.0)
+    assert max_calls_with_local_limits(2.0, boxes, 1.0) > allowed(2.0)
 
 
 def test_even_shares_of_two_halls_that_count_only_themselves_break_it():
-    assert 2 * by_itself(10.0, 4, 1.0 / 4) > allowed(10.0)
+    assert 2 * max_calls_with_local_limits(10.0, 4, 1.0 / 4) > allowed(10.0)
 
 
 @settings(max_examples=40, deadline=None, derandomize=True)
@@ -137,8 +137,10 @@
 def test_no_interleaving_gives_a_worker_more_than_its_limit(
     seed, per_s, loss, repeats, delay, events
 ):
-    world = flooded(per_s, boxes=12, seed=seed, loss=loss, repeats=repeats, delay_s=(0.001, delay))
+    world = overloaded_world(
+        per_s, boxes=12, seed=seed, loss=loss, repeats=repeats, delay_s=(0.001, delay)
+    )
     for kind, when, n in events:
-        world.at(when, lambda kind=kind, n=n: happen(world, kind, n))
+        world.at(when, lambda kind=kind, n=n: apply_event(world, kind, n))
     world.run(31.0)
     assert world.most_in_a_window() <= allowed(per_s)
--- a/tests/systems/test_worker_table.py
+++ b/tests/systems/test_worker_table.py
@@ -2,7 +2,7 @@
 
 from croftchute.storage.watched import StoredItem
 from croftchute.systems.tracked_worker import GONE_GRACE_S
-from croftchute.systems.worker_table import LAPSED_GRACE_S, WorkerTable
+from croftchute.systems.worker_table import MASS_EXPIRY_GRACE_S, WorkerTable
 from croftchute.tables.routing import Stage, Worker, WorkerState
 
 
@@ -66,7 +66,7 @@
     table.note_sent("a", 10)
     table.remove(["a"], 0.0)
     assert table.sweep(100.0) == []
-    table.note_ended("a", 10)
+    table.note_request_ended("a", 10)
     assert table.sweep(100.0) == ["a"]
 
 
@@ -110,8 +110,8 @@
     tracked = table.tracked_by_id["a"]
     table.note_sent("a", 0)
     table.note_load("a", 3, 1, 0.0)
-    assert tracked.others_running(0.1) == 3.0
-    assert tracked.others_running(5.0) == 0.0
+    assert tracked.other_boxes_running(0.1) == 3.0
+    assert tracked.other_boxes_running(5.0) == 0.0
 
 
 def listed(*names, service="s"):
@@ -127,13 +127,13 @@
     assert table.remove(["a", "b", "c"], 1.0) == ["a", "b", "c"]
     table.upsert(worker("b"), 1.3)
     assert ids(table.usable("s", 2.9)) == ["a", "b", "c"]
-    assert ids(table.usable("s", 1.0 + LAPSED_GRACE_S + 0.01)) == ["b"]
-    assert table.sweep(1.0 + LAPSED_GRACE_S + 0.01) == ["a", "c"]
+    assert ids(table.usable("s", 1.0 + MASS_EXPIRY_GRACE_S + 0.01)) == ["b"]
+    assert table.sweep(1.0 + MASS_EXPIRY_GRACE_S + 0.01) == ["a", "c"]
 
 
 def test_the_grace_of_lapsed_entries_can_be_shorter():
     table = listed("a", "b")
-    table.lapsed_grace_s = 1.5
+    table.mass_expiry_grace_s = 1.5
     table.remove(["a", "b"], 1.0)
     assert table.usable("s", 2.6) == []
 
@@ -142,7 +142,7 @@
     table = listed("a", "b", "c", "d", "e")
     table.remove(["a", "b"], 1.0)
     assert ids(table.usable("s", 1.1)) == ["c", "d", "e"]
-    assert not table.has_lapsed("a")
+    assert not table.is_mass_expired("a")
 
 
 def test_a_worker_whose_entry_lapsed_while_draining_gets_nothing():
@@ -211,9 +211,9 @@
 def test_the_usual_pause_of_a_worker_is_learnt_from_its_steps():
     table = WorkerTable()
     table.upsert(worker("a"), 0.0)
-    table.note_pause("unknown", 1.0)
-    table.note_pause("a", 0.1)
+    table.note_chunk_gap("unknown", 1.0)
+    table.note_chunk_gap("a", 0.1)
     assert table.tracked_by_id["a"].pause_s == pytest.approx(0.1)
     for _ in range(40):
-        table.note_pause("a", 0.8)
+        table.note_chunk_gap("a", 0.8)
     assert table.tracked_by_id["a"].pause_s == pytest.approx(0.8, rel=0.05)
