--- a/src/croftchute/daemon/router_process.py
+++ b/src/croftchute/daemon/router_process.py
@@ -8,7 +8,7 @@
 from http import HTTPStatus
 from pathlib import Path
 
-from croftchute.daemon.router_state import lapsed_grace_s, limit_terms, retry_limits
+from croftchute.daemon.router_state import limit_terms, mass_expiry_grace_s, retry_limits
 from croftchute.errors import DocumentError
 from croftchute.forwarding.boxes.crash_gossip import CrashGossip
 from croftchute.forwarding.boxes.limits import FixedShares, UsageLimits
@@ -38,7 +38,7 @@
 from croftchute.storage.watched import SharedStore, Vocabulary
 from croftchute.systems.fleet_size import FleetSize
 from croftchute.systems.lent_share import WORKERS_GROUP
-from croftchute.tables.organisations import LimitWay
+from croftchute.tables.organisations import LimitMode
 from croftchute.tables.routing import IngressLimits
 
 FLUSH_S = 0.5
@@ -148,7 +148,7 @@
     def _make_usage_limits(self) -> UsageLimits:
         """The way in which limits of organisations are kept here, as the settings name it."""
         terms = limit_terms(self.settings)
-        if self.settings.ways.limits is LimitWay.FIXED:
+        if self.settings.ways.limits is LimitMode.FIXED:
             return FixedShares(state=self.state, terms=terms, size=self.fleet_size)
         return PooledLimits(rates=self.shared_rates, group=self.shared_rates.groups[0])
 
@@ -187,7 +187,7 @@
         """Whether the box should be sent new connections."""
         return (
             self.state.table is not None
-            and bool(self.state.workers.beliefs_by_id)
+            and bool(self.state.workers.tracked_by_id)
             and not self.is_stopping
         )
 
@@ -296,7 +296,7 @@
         self.state.default_boxes = settings.boxes
         self.state.conditions = settings.conditions
         self.held.set_memory(settings.held_memory_mb)
-        self.state.workers.lapsed_grace_s = lapsed_grace_s(settings)
+        self.state.workers.mass_expiry_grace_s = mass_expiry_grace_s(settings)
         self.state.log.decide(
             Decision.RELOADED, outcome="in force", cause=cause, needs_restart=needs_restart
         )
@@ -333,7 +333,7 @@
     def _sweep_limits(self, now: float) -> None:
         """Let go of limits of workers that are over, and count those that hold."""
         workers = self.state.workers
-        for worker_id in workers.limits.sweep(now, listed=workers.beliefs_by_id):
+        for worker_id in workers.limits.sweep(now, listed=workers.tracked_by_id):
             self.state.log.decide(Decision.WORKER_UNLIMITED, worker=worker_id)
         self.state.metrics.limited_workers.set({}, len(workers.limits.in_force(now)))
 
@@ -364,7 +364,7 @@
             Decision.READY_CHANGED,
             outcome="ready" if self.is_ready else "not_ready",
             config_version=self.state.table.version if self.state.table else 0,
-            workers=len(self.state.workers.beliefs_by_id),
+            workers=len(self.state.workers.tracked_by_id),
             is_stopping=self.is_stopping,
         )
 
--- a/src/croftchute/forwarding/workers/part_reader.py
+++ b/src/croftchute/forwarding/workers/part_reader.py
@@ -55,11 +55,11 @@
         if self._last_at is None:
             return min(self.first_wait_s, run.time_left_s)
         return timeouts.gap_timeout_s(
-            run.route, time_left_s=run.time_left_s, usual_gap_s=self.call.belief.pause_s
+            run.route, time_left_s=run.time_left_s, usual_gap_s=self.call.tracked.pause_s
         )
 
     def _note_part(self) -> None:
         now = self.run.now
         if self._last_at is not None:
-            self.run.state.workers.note_pause(self.call.worker.id, now - self._last_at)
+            self.run.state.workers.note_chunk_gap(self.call.worker.id, now - self._last_at)
         self._last_at = now
--- a/src/croftchute/forwarding/workers/stream_run.py
+++ b/src/croftchute/forwarding/workers/stream_run.py
@@ -26,8 +26,8 @@
 from croftchute.forwarding.workers.worker_call import WorkerCall
 from croftchute.systems import timeouts
 from croftchute.systems.prefill_queue import PrefillEstimate
-from croftchute.systems.worker_belief import WorkerBelief
-from croftchute.systems.worker_choice import ChoiceInput
+from croftchute.systems.tracked_worker import TrackedWorker
+from croftchute.systems.worker_choice import ChoiceRecord
 from croftchute.tables.routing import HeaderList, Stage
 
 
@@ -88,7 +88,7 @@
         run.state.demand(run.service).note_ask(
             run.now,
             prompt_tokens=facts.prompt_tokens,
-            output_tokens=facts.likely_output,
+            output_tokens=facts.planned_output_tokens,
             is_large=run.is_large,
         )
         if facts.resume_after is not None:
@@ -99,7 +99,7 @@
             if found is None:
                 return
             source = await self.reader.read_for(found[0])
-            if run.state.workers.wishes.rest_left_s(found[0].worker.id, run.now) > 0.0:
+            if run.state.workers.advice.backoff_left_s(found[0].worker.id, run.now) > 0.0:
                 # It asked for rest while the prompt was read: its room is left for another's.
                 self.room.drop_unused()
                 continue
@@ -121,7 +121,7 @@
     def _prefill_rests(self) -> bool:
         """Whether prompts are read by decode workers alone, as those that read ahead rest."""
         run = self.run
-        return run.state.workers.rest_left_s(run.service, run.now, stage=Stage.PREFILL) > 0.0
+        return run.state.workers.backoff_left_s(run.service, run.now, stage=Stage.PREFILL) > 0.0
 
     def _note_room(self) -> None:
         """Keep why no worker had room, for the caller's answer if none is found."""
@@ -137,24 +137,24 @@
     # Decode.
 
     async def _decode(
-        self, belief: WorkerBelief, chosen: ChoiceInput, source: PrefillHandle | None
+        self, tracked: TrackedWorker, chosen: ChoiceRecord, source: PrefillHandle | None
     ) -> None:
         run = self.run
         progress = self.progress
         send = Send(
-            worker=belief.worker,
+            worker=tracked.worker,
             time_left_s=run.time_left_s,
             priority=run.rank,
             source=source,
             hold=self.room.hold,
             resume_after=progress.last_event,
         )
-        call = WorkerCall(run=run, belief=belief, send=send, chosen=chosen)
+        call = WorkerCall(run=run, tracked=tracked, send=send, chosen=chosen)
         try:
             await call.open()
             self.room.note_used()
             run.arrivals += 1
-            run.workers_sent_to.add(belief.worker.id)
+            run.workers_sent_to.add(tracked.worker.id)
             await self._take(call, source)
         except ConnectFailedError as error:
             self.room.drop_unused()
@@ -171,7 +171,7 @@
             call.failed(error)
             progress.code, progress.detail = error.code, error.message
             if error.code is Code.UPSTREAM_FAILED:
-                self.room.kept_at = belief.worker.id
+                self.room.kept_at = tracked.worker.id
         finally:
             call.close()
 
@@ -260,7 +260,7 @@
         if not is_resumed and run.first_byte_at is not None:
             run.state.demand(run.service).note_ended(
                 run.now,
-                output_tokens=run.facts.likely_output,
+                output_tokens=run.facts.planned_output_tokens,
                 seconds=run.now - run.first_byte_at,
             )
 
--- a/src/croftchute/systems/box.py
+++ b/src/croftchute/systems/box.py
@@ -45,7 +45,7 @@
 from croftchute.systems.membership import Membership
 from croftchute.systems.owner import PolicyOrderer, ShardOwner
 from croftchute.systems.prefix_index import CacheEvent
-from croftchute.systems.rendezvous import rank
+from croftchute.systems.rendezvous import rank_nodes
 from croftchute.systems.shard_choice import ShardChooser
 from croftchute.systems.sharding import assign_evenly, build_topology
 from croftchute.tables.boxes import Box, BoxState
@@ -219,7 +219,7 @@
             case Audited():
                 return self.owner.audit_answered(body, now)
             case CrashNews():
-                self.entry.crashes.hear(body, now)
+                self.entry.crashes.apply_notices(body, now)
                 return self._send_crash_news(now)
             case BoxNotice() | AllowanceAsk() | AllowanceReply():
                 return []  # for forwarding boxes, which have a table of their own
@@ -320,14 +320,14 @@
                 peer_port=self.own.peer_port,
                 admin_port=self.own.admin_port,
             )
-        bodies: list[Body] = [body, *self.entry.crashes.with_beat(now)]
+        bodies: list[Body] = [body, *self.entry.crashes.heartbeat_messages(now)]
         return [
             SendPeer(box=box, body=part) for box in self._heartbeat_receivers() for part in bodies
         ]
 
     def _send_crash_news(self, now: float) -> list[Command]:
         """Send news of requests under which engines crashed to the receivers of heartbeats."""
-        news = self.entry.crashes.take_news(now)
+        news = self.entry.crashes.take_outgoing(now)
         return [
             SendPeer(box=box, body=part) for part in news for box in self._heartbeat_receivers()
         ]
@@ -335,7 +335,7 @@
     @property
     def is_relay(self) -> bool:
         """Whether this box is one of the few of its hall that talk to the platform."""
-        return self.own.id in rank("relay", self.membership.live_ids())[:RELAYS_PER_HALL]
+        return self.own.id in rank_nodes("relay", self.membership.live_ids())[:RELAYS_PER_HALL]
 
     def _heartbeat_receivers(self) -> list[str]:
         """Return the boxes of this hall; from a relay also the relays of every other hall."""
@@ -346,7 +346,7 @@
         for hall in sorted({box.hall for box in boxes if box.hall != self.own.hall}):
             hall_ids = [box.id for box in boxes if box.hall == hall]
             live_ids = [box for box in hall_ids if self.membership.is_live(box)]
-            ids += rank("relay", live_ids or hall_ids)[:RELAYS_PER_HALL]
+            ids += rank_nodes("relay", live_ids or hall_ids)[:RELAYS_PER_HALL]
         return ids
 
     def apply_range_map(self, known: RangeMap, now: float) -> list[Command]:
--- a/src/croftchute/systems/dedupe_map.py
+++ b/src/croftchute/systems/dedupe_map.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable, Iterable, Mapping
 from dataclasses import replace
 
-from croftchute.systems.rendezvous import rank
+from croftchute.systems.rendezvous import rank_nodes
 from croftchute.tables.dedupe import RANGES, BoxIncarnation, RangeMap, RangeRow
 
 MAX_CLOCK_SKEW_S = 5.0
@@ -44,7 +44,7 @@
     index: int, *, epoch: int, floor: float, members: list[BoxIncarnation]
 ) -> RangeRow:
     member_by_box = {member.box: member for member in members}
-    first, second = rank(f"range-{index}", member_by_box)[:2]
+    first, second = rank_nodes(f"range-{index}", member_by_box)[:2]
     return RangeRow(
         index=index,
         epoch=epoch,
@@ -111,5 +111,5 @@
     if not replacements:
         return row
     by_box = {replacement.box: replacement for replacement in replacements}
-    second = by_box[rank(f"range-{row.index}", by_box)[0]]
+    second = by_box[rank_nodes(f"range-{row.index}", by_box)[0]]
     return replace(row, epoch=row.epoch + 1, first=own, second=second)
--- a/src/croftchute/systems/owner.py
+++ b/src/croftchute/systems/owner.py
@@ -25,7 +25,7 @@
 from croftchute.systems.prefix_index import CacheEvent, PrefixIndex
 from croftchute.systems.pressure import Pressure
 from croftchute.systems.shard_digest import build_digest
-from croftchute.systems.strangers import Strangers
+from croftchute.systems.unknown_attempts import UnknownAttempts
 from croftchute.tables.requests import Reservation
 from croftchute.tables.upstreams import (
     EngineConfig,
@@ -68,7 +68,7 @@
         self.prefix_index_by_engine: dict[str, PrefixIndex] = {}
         self.forecasts_by_model: dict[str, OutputLengthForecast] = {}
         self._engines_by_shard: dict[str, list[EngineConfig]] = {}
-        self._unknown_attempts = Strangers()
+        self._unknown_attempts = UnknownAttempts()
         self._next_audit_at = 0.0
 
     def __repr__(self) -> str:
--- a/src/croftchute/systems/plain_queue.py
+++ b/src/croftchute/systems/plain_queue.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass, field
 
 from croftchute.systems.timeouts import FIRST_TRY_MIN_TIME_SHARE
-from croftchute.systems.worker_belief import WorkerBelief
+from croftchute.systems.tracked_worker import TrackedWorker
 from croftchute.tables.routing import Route
 
 BUSY_WINDOW_S = 1.0
@@ -96,12 +96,12 @@
     return since_first_try_s > (1.0 - FIRST_TRY_MIN_TIME_SHARE) * route.timeout_s
 
 
-def is_busy(beliefs: Sequence[WorkerBelief], now: float) -> bool:
+def is_busy(tracked_workers: Sequence[TrackedWorker], now: float) -> bool:
     """Return whether a worker of the service reported a queue or rejected a call lately."""
     return any(
-        now - belief.rejected_at <= BUSY_WINDOW_S
-        or (belief.load_waiting > 0 and now - belief.load_at <= BUSY_WINDOW_S)
-        for belief in beliefs
+        now - tracked.rejected_at <= BUSY_WINDOW_S
+        or (tracked.load_waiting > 0 and now - tracked.load_at <= BUSY_WINDOW_S)
+        for tracked in tracked_workers
     )
 
 
--- a/src/croftchute/systems/predicted_end.py
+++ b/src/croftchute/systems/predicted_end.py
@@ -13,14 +13,14 @@
 from enum import StrEnum
 
 from croftchute.systems.prefill_timing import PrefillTiming
-from croftchute.systems.worker_belief import LOAD_TTL_S, WorkerBelief
+from croftchute.systems.tracked_worker import LOAD_TTL_S, TrackedWorker
 from croftchute.systems.worker_choice import (
     FAILURE_COST,
     MAX_PEER_FAILURES,
     PEER_FAILURE_COST,
-    TYPICAL_TOKENS,
-    Surroundings,
-    others_at,
+    TYPICAL_DECODE_TOKENS,
+    ChoiceContext,
+    other_boxes_load,
 )
 from croftchute.tables.paces import PaceEstimate, PredictedEnd
 
@@ -78,30 +78,35 @@
     at: float = 0.0
 
 
-def failure_cost(belief: WorkerBelief, around: Surroundings, now: float) -> float:
+def failure_cost(tracked: TrackedWorker, context: ChoiceContext, now: float) -> float:
     """What is held against a worker here and at peers, in full workers as in choices by cost."""
-    peer_failures = min(MAX_PEER_FAILURES, around.peers.failures(belief.worker.id, now))
-    return FAILURE_COST * belief.failure_score(now) + PEER_FAILURE_COST * peer_failures
+    peer_failures = min(MAX_PEER_FAILURES, context.peers.failures(tracked.worker.id, now))
+    return FAILURE_COST * tracked.failure_score(now) + PEER_FAILURE_COST * peer_failures
 
 
-def is_suspect(belief: WorkerBelief, around: Surroundings, now: float) -> bool:
+def is_suspect(tracked: TrackedWorker, context: ChoiceContext, now: float) -> bool:
     """Whether enough is held against a worker that others are tried first."""
-    return failure_cost(belief, around, now) >= SUSPECT_FAILURE_COST
+    return failure_cost(tracked, context, now) >= SUSPECT_FAILURE_COST
 
 
 def predict_plain_end(
-    belief: WorkerBelief, *, usual_s: float, around: Surroundings, pace: PaceEstimate, now: float
+    tracked: TrackedWorker,
+    *,
+    usual_s: float,
+    context: ChoiceContext,
+    pace: PaceEstimate,
+    now: float,
 ) -> PredictedEnd:
     """The end of a request at a plain worker; ``usual_s`` is the usual time of an answer."""
-    slots = max(1, belief.worker.slots)
-    in_flight = belief.in_flight + others_at(belief, around, now)
+    slots = max(1, tracked.worker.slots)
+    in_flight = tracked.in_flight + other_boxes_load(tracked, context, now)
     ahead = max(0.0, in_flight + 1 - slots)
     return PredictedEnd(
         wait_s=ahead * usual_s / slots * pace.factor,
         work_s=usual_s * pace.factor,
-        overdue_s=max(0.0, belief.oldest_call_s(now) - OVERDUE_MULTIPLE * usual_s),
-        hall_penalty_s=_hall_penalty_s(belief, around),
-        failure_penalty_s=usual_s * failure_cost(belief, around, now),
+        overdue_s=max(0.0, tracked.oldest_call_age_s(now) - OVERDUE_MULTIPLE * usual_s),
+        hall_penalty_s=_hall_penalty_s(tracked, context),
+        failure_penalty_s=usual_s * failure_cost(tracked, context, now),
         pace=pace.factor,
         pace_source=pace.source,
         pace_age_s=pace.age_s,
@@ -109,12 +114,12 @@
 
 
 def predict_decode_end(
-    belief: WorkerBelief,
+    tracked: TrackedWorker,
     *,
     usual: UsualTimes,
     target_s: float,
     target_gap_s: float,
-    around: Surroundings,
+    context: ChoiceContext,
     pace: PaceEstimate,
     now: float,
 ) -> PredictedEnd:
@@ -124,17 +129,17 @@
     likely full refuses the hold, and a request asks several for one.
     """
     stream_s = usual.stream_s or DEFAULT_STREAM_S
-    peer_in_flight = others_at(belief, around, now)
-    load = (belief.in_flight + peer_in_flight) / max(1, belief.worker.slots)
-    if around.kv_tokens > 0:
-        load += (belief.tokens_in_flight + peer_in_flight * TYPICAL_TOKENS) / around.kv_tokens
+    peer_in_flight = other_boxes_load(tracked, context, now)
+    load = (tracked.in_flight + peer_in_flight) / max(1, tracked.worker.slots)
+    if context.kv_tokens > 0:
+        load += (tracked.tokens_in_flight + peer_in_flight * TYPICAL_DECODE_TOKENS) / context.kv_tokens
     is_gap_too_long = 0.0 < target_gap_s < usual.token_gap_s * pace.factor
     return PredictedEnd(
         wait_s=load * stream_s * pace.factor,
         work_s=stream_s * pace.factor,
         gap_penalty_s=target_s if is_gap_too_long else 0.0,
-        hall_penalty_s=_hall_penalty_s(belief, around),
-        failure_penalty_s=stream_s * failure_cost(belief, around, now),
+        hall_penalty_s=_hall_penalty_s(tracked, context),
+        failure_penalty_s=stream_s * failure_cost(tracked, context, now),
         pace=pace.factor,
         pace_source=pace.source,
         pace_age_s=pace.age_s,
@@ -142,13 +147,13 @@
 
 
 def predict_prefill_end(
-    belief: WorkerBelief,
+    tracked: TrackedWorker,
     *,
     prompt_tokens: int,
     usual: UsualTimes,
     timing: PrefillTiming,
     reported_wait_s: float,
-    around: Surroundings,
+    context: ChoiceContext,
     pace: PaceEstimate,
     now: float,
 ) -> PredictedEnd:
@@ -157,50 +162,50 @@
     The prompts there are those that the worker told just now, and this box's own. Where it told
     nothing lately, what calls waited counts if it is more: ``reported_wait_s``, here and at peers.
     """
-    own = len(belief.queue.open_calls_by_request)
-    prompts = own + belief.others_running(now)
+    own = len(tracked.queue.open_calls_by_request)
+    prompts = own + tracked.other_boxes_running(now)
     wait_s = prompts * usual.prompt_s * pace.factor
-    if now - belief.load_at > LOAD_TTL_S:
-        wait_s = max(wait_s, reported_wait_s, belief.queue.decayed_observed_wait_s(now))
+    if now - tracked.load_at > LOAD_TTL_S:
+        wait_s = max(wait_s, reported_wait_s, tracked.queue.decayed_observed_wait_s(now))
     work_s = timing.prefill_s(prompt_tokens)
     failed_s = max(work_s, usual.prompt_s, usual.full_queue_s)
     return PredictedEnd(
         wait_s=wait_s,
         work_s=work_s * pace.factor,
-        overdue_s=belief.queue.overdue_s(timing=timing, now=now),
-        hall_penalty_s=_hall_penalty_s(belief, around),
-        failure_penalty_s=failed_s * failure_cost(belief, around, now),
+        overdue_s=tracked.queue.overdue_s(timing=timing, now=now),
+        hall_penalty_s=_hall_penalty_s(tracked, context),
+        failure_penalty_s=failed_s * failure_cost(tracked, context, now),
         pace=pace.factor,
         pace_source=pace.source,
         pace_age_s=pace.age_s,
     )
 
 
-def _hall_penalty_s(belief: WorkerBelief, around: Surroundings) -> float:
-    return OTHER_HALL_PENALTY_S if belief.worker.zone != around.zone else 0.0
+def _hall_penalty_s(tracked: TrackedWorker, context: ChoiceContext) -> float:
+    return OTHER_HALL_PENALTY_S if tracked.worker.zone != context.zone else 0.0
 
 
 def sample_by_speed(
-    candidates: Sequence[WorkerBelief],
+    candidates: Sequence[TrackedWorker],
     *,
     speeds: Mapping[str, float],
     count: int,
     rng: random.Random,
-) -> list[WorkerBelief]:
+) -> list[TrackedWorker]:
     """Some different candidates at random, in proportion to their speeds by worker id.
 
     Each gets a random key whose order is that of draws without replacement (Efraimidis and
     Spirakis 2006).
     """
     keyed = [(rng.expovariate(speeds[b.worker.id]), n, b) for n, b in enumerate(candidates)]
-    return [belief for _, _, belief in sorted(keyed, key=lambda entry: entry[:2])[:count]]
+    return [tracked for _, _, tracked in sorted(keyed, key=lambda entry: entry[:2])[:count]]
 
 
 def exclude_suspects(
-    candidates: Sequence[WorkerBelief], *, around: Surroundings, now: float, least: int
-) -> list[WorkerBelief]:
+    candidates: Sequence[TrackedWorker], *, context: ChoiceContext, now: float, least: int
+) -> list[TrackedWorker]:
     """Candidates against which little is held; all of them if fewer than ``least`` are left."""
-    trusted = [b for b in candidates if not is_suspect(b, around, now)]
+    trusted = [b for b in candidates if not is_suspect(b, context, now)]
     return trusted if len(trusted) >= least else list(candidates)
 
 
--- a/src/croftchute/systems/size_lanes.py
+++ b/src/croftchute/systems/size_lanes.py
@@ -12,9 +12,9 @@
 from collections.abc import Collection, Sequence
 from enum import StrEnum
 
-from croftchute.systems.rendezvous import weight
+from croftchute.systems.rendezvous import rendezvous_weight
 from croftchute.systems.stage_balance import DemandCounts
-from croftchute.systems.worker_belief import WorkerBelief
+from croftchute.systems.tracked_worker import TrackedWorker
 
 MIN_LARGE_REQUEST_SHARE = 0.5
 """Share of an engine's memory above which a request is large: two of them do not fit one engine."""
@@ -81,12 +81,12 @@
 
 
 def lane_candidates(
-    candidates: Sequence[WorkerBelief],
+    candidates: Sequence[TrackedWorker],
     *,
     is_large_request: bool,
     share: float,
     rejected_ids: Collection[str],
-) -> list[WorkerBelief]:
+) -> list[TrackedWorker]:
     """Return the workers that may serve a request: the lane for large ones, the rest for others.
 
     A large request may also use the rest once every worker of the lane has rejected it. A service
@@ -95,9 +95,9 @@
     size = int(share * len(candidates) + 0.5)
     if not 0 < size < len(candidates):
         return list(candidates)
-    ranked = sorted(candidates, key=lambda belief: weight(LANE_HASH_KEY, belief.worker.id))
+    ranked = sorted(candidates, key=lambda tracked: rendezvous_weight(LANE_HASH_KEY, tracked.worker.id))
     lane, rest = ranked[:size], ranked[size:]
     if not is_large_request:
         return rest
-    untried = [belief for belief in lane if belief.worker.id not in rejected_ids]
+    untried = [tracked for tracked in lane if tracked.worker.id not in rejected_ids]
     return untried or rest
--- a/src/croftchute/systems/stage_headroom.py
+++ b/src/croftchute/systems/stage_headroom.py
@@ -21,7 +21,7 @@
     RequestAverages,
 )
 from croftchute.systems.stage_balance import DEMAND_WINDOW_S, DemandCounts, StageChange
-from croftchute.systems.worker_belief import WorkerBelief
+from croftchute.systems.tracked_worker import TrackedWorker
 from croftchute.tables.paces import PaceView, WorkKind
 from croftchute.tables.routing import EngineTraits, Stage, WorkerState
 
@@ -103,14 +103,14 @@
 class _Engine:
     """An engine in the stage that it has or is about to have; speeds by the work of the stage."""
 
-    belief: WorkerBelief
+    tracked: TrackedWorker
     stage: Stage
     is_pending: bool
     speed_by_stage: dict[Stage, float]
 
     @property
     def id(self) -> str:
-        return self.belief.worker.id
+        return self.tracked.worker.id
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
@@ -139,7 +139,7 @@
 
     def plan_changes(
         self,
-        beliefs: Sequence[WorkerBelief],
+        tracked_workers: Sequence[TrackedWorker],
         counts: DemandCounts,
         *,
         scale: float,
@@ -156,7 +156,7 @@
         workers that get no order: those that change count as changed, those that rest as they
         are.
         """
-        engines = _engines(beliefs, pending_stages, paces, now)
+        engines = _engines(tracked_workers, pending_stages, paces, now)
         load = _stage_load(counts, engines, scale=scale, timing=timing, traits=traits)
         self._load = load if load is not None else self._load
         self._expire_orders(now)
@@ -203,7 +203,7 @@
             free,
             key=lambda e: (
                 e.id in self._orders_by_worker,
-                e.belief.tokens_in_flight,
+                e.tracked.tokens_in_flight,
                 -e.speed_by_stage[Stage.DECODE],
                 e.id,
             ),
@@ -211,7 +211,7 @@
         reason = "no decode worker is listed"
         return [
             StageChange(
-                worker=best.belief.worker, stage=Stage.DECODE, reason=reason, is_urgent=True
+                worker=best.tracked.worker, stage=Stage.DECODE, reason=reason, is_urgent=True
             )
         ]
 
@@ -246,7 +246,7 @@
         reason = _reason(present, wanted, counts, scale, load)
         by_id = {engine.id: engine for engine in free}
         return [
-            StageChange(worker=by_id[worker_id].belief.worker, stage=stage, reason=reason)
+            StageChange(worker=by_id[worker_id].tracked.worker, stage=stage, reason=reason)
             for worker_id in first
         ]
 
@@ -257,13 +257,13 @@
 
 
 def _engines(
-    beliefs: Sequence[WorkerBelief], pending_stages: dict[str, Stage], paces: PaceView, now: float
+    tracked_workers: Sequence[TrackedWorker], pending_stages: dict[str, Stage], paces: PaceView, now: float
 ) -> list[_Engine]:
     """The listed engines of both stages; ordered changes count as carried out."""
     engines = []
-    for belief in beliefs:
-        worker = belief.worker
-        is_listed = belief.gone_at is None and worker.state is WorkerState.READY
+    for tracked in tracked_workers:
+        worker = tracked.worker
+        is_listed = tracked.gone_at is None and worker.state is WorkerState.READY
         if worker.stage is None or not is_listed:
             continue
         prefill_factor = paces.estimate(worker.id, WorkKind.PREFILL, now).factor
@@ -271,7 +271,7 @@
         stage = pending_stages.get(worker.id, worker.stage)
         engines.append(
             _Engine(
-                belief=belief,
+                tracked=tracked,
                 stage=stage,
                 is_pending=stage is not worker.stage,
                 speed_by_stage={
@@ -328,7 +328,7 @@
     speeds = [
         engine.speed_by_stage[Stage.DECODE]
         for engine in engines
-        if engine.belief.worker.stage is Stage.DECODE
+        if engine.tracked.worker.stage is Stage.DECODE
     ]
     return averages.decode_s * (sum(speeds) / len(speeds) if speeds else 1.0)
 
@@ -386,8 +386,8 @@
         candidates=[
             stage_search.Candidate(
                 id=engine.id,
-                hall=engine.belief.worker.zone,
-                tokens=engine.belief.tokens_in_flight,
+                hall=engine.tracked.worker.zone,
+                tokens=engine.tracked.tokens_in_flight,
                 speed_lost=engine.speed_by_stage[other],
                 speed_gained=engine.speed_by_stage[stage],
             )
@@ -401,7 +401,7 @@
         ),
         max_speed_lost=max_speed_lost,
         decodes_by_hall=Counter(
-            engine.belief.worker.zone for engine in engines if engine.stage is Stage.DECODE
+            engine.tracked.worker.zone for engine in engines if engine.stage is Stage.DECODE
         ),
         is_to_decode=stage is Stage.DECODE,
     )
--- a/src/croftchute/systems/worker_choice.py
+++ b/src/croftchute/systems/worker_choice.py
@@ -7,8 +7,8 @@
 from dataclasses import dataclass, replace
 from typing import Protocol
 
-from croftchute.systems.rendezvous import weight
-from croftchute.systems.worker_belief import WorkerBelief
+from croftchute.systems.rendezvous import rendezvous_weight
+from croftchute.systems.tracked_worker import TrackedWorker
 from croftchute.tables.paces import PredictedEnd
 from croftchute.tables.routing import Route, Stage
 
@@ -21,16 +21,16 @@
 MAX_PEER_FAILURES = 4.0
 """Most failures of peers that count: many boxes see the same crash."""
 
-TYPICAL_TOKENS = 5000
+TYPICAL_DECODE_TOKENS = 5000
 """Decode tokens that a request of another box is taken to hold: its size is not told."""
 
-FAR_COST = 0.12
+OTHER_HALL_COST = 0.12
 """Cost of a worker in another hall: as much as a few requests at one nearby."""
 
 LATENCY_COST = 0.5
 """Cost of taking twice as long as workers usually do."""
 
-SAMPLE = 12
+MAX_CANDIDATES = 12
 """Workers looked at for one choice in a large service: more find hardly better ones. With an
 affinity they are the same ones for each try, so that a box that knows nothing of an earlier try
 finds the worker that keeps its prompt."""
@@ -40,7 +40,7 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class ChoiceInput:
+class ChoiceRecord:
     """Why one worker was chosen; goes to the log. ``end`` is None if it was chosen by cost."""
 
     worker: str
@@ -66,7 +66,7 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Surroundings:
+class ChoiceContext:
     """What a choice is made by, besides the workers themselves."""
 
     zone: str
@@ -75,85 +75,91 @@
     typical_s: float = 0.0
 
 
-def others_at(belief: WorkerBelief, around: Surroundings, now: float) -> float:
+def other_boxes_load(tracked: TrackedWorker, context: ChoiceContext, now: float) -> float:
     """Requests of other boxes at a worker.
 
     What peers told is some hundred milliseconds old: it says something of streams, which last for
     seconds; for short work it would send all boxes to the same worker.
     """
-    running = belief.others_running(now)
-    if belief.worker.stage is Stage.DECODE:
-        running = max(running, around.peers.in_flight(belief.worker.id, now))
+    running = tracked.other_boxes_running(now)
+    if tracked.worker.stage is Stage.DECODE:
+        running = max(running, context.peers.in_flight(tracked.worker.id, now))
     return running
 
 
-def cost_of(belief: WorkerBelief, around: Surroundings, now: float) -> float:
+def cost_of(tracked: TrackedWorker, context: ChoiceContext, now: float) -> float:
     """The cost of giving a worker one more request, in units of a full worker."""
-    worker = belief.worker
-    elsewhere = others_at(belief, around, now)
-    cost = (belief.in_flight + elsewhere) / max(1, worker.slots)
-    if around.kv_tokens > 0:
-        cost += belief.tokens_in_flight / around.kv_tokens
-        cost += elsewhere * TYPICAL_TOKENS / around.kv_tokens
-    cost += FAILURE_COST * belief.failure_score(now)
-    cost += PEER_FAILURE_COST * min(MAX_PEER_FAILURES, around.peers.failures(worker.id, now))
-    zone, typical_s = around.zone, around.typical_s
-    if belief.worker.zone != zone:
-        cost += FAR_COST
-    if typical_s > 0.0 and belief.latency_s > 0.0:
-        cost += LATENCY_COST * max(0.0, belief.latency_s / typical_s - 1.0)
+    worker = tracked.worker
+    elsewhere = other_boxes_load(tracked, context, now)
+    cost = (tracked.in_flight + elsewhere) / max(1, worker.slots)
+    if context.kv_tokens > 0:
+        cost += tracked.tokens_in_flight / context.kv_tokens
+        cost += elsewhere * TYPICAL_DECODE_TOKENS / context.kv_tokens
+    cost += FAILURE_COST * tracked.failure_score(now)
+    cost += PEER_FAILURE_COST * min(MAX_PEER_FAILURES, context.peers.failures(worker.id, now))
+    zone, typical_s = context.zone, context.typical_s
+    if tracked.worker.zone != zone:
+        cost += OTHER_HALL_COST
+    if typical_s > 0.0 and tracked.latency_s > 0.0:
+        cost += LATENCY_COST * max(0.0, tracked.latency_s / typical_s - 1.0)
     return cost
 
 
 def choose(
-    candidates: Sequence[WorkerBelief],
+    candidates: Sequence[TrackedWorker],
     *,
-    around: Surroundings,
+    context: ChoiceContext,
     avoid: Collection[str],
     now: float,
     rng: random.Random,
     affinity: str = "",
-) -> tuple[WorkerBelief, ChoiceInput] | None:
+) -> tuple[TrackedWorker, ChoiceRecord] | None:
     """The cheapest candidate that is not to be avoided; ties are broken at random.
 
     Of many candidates some are looked at: any, or those that ``affinity`` names.
     """
-    left = [belief for belief in candidates if belief.worker.id not in avoid]
+    left = [tracked for tracked in candidates if tracked.worker.id not in avoid]
     if not left:
         return None
-    if len(left) > SAMPLE:
-        left = by_affinity(left, affinity)[:SAMPLE] if affinity else rng.sample(left, SAMPLE)
-    latencies = sorted(belief.latency_s for belief in left if belief.latency_s > 0.0)
+    if len(left) > MAX_CANDIDATES:
+        left = (
+            rank_by_affinity(left, affinity)[:MAX_CANDIDATES]
+            if affinity
+            else rng.sample(left, MAX_CANDIDATES)
+        )
+    latencies = sorted(tracked.latency_s for tracked in left if tracked.latency_s > 0.0)
     typical_s = latencies[len(latencies) // 2] if latencies else 0.0
-    around = replace(around, typical_s=typical_s)
+    context = replace(context, typical_s=typical_s)
     costs = [
         (
-            round(cost_of(belief, around, now), COST_DIGITS),
+            round(cost_of(tracked, context, now), COST_DIGITS),
             rng.random(),
-            belief,
+            tracked,
         )
-        for belief in left
+        for tracked in left
     ]
     _, _, best = min(costs, key=lambda entry: entry[:2])
-    return best, describe(best, around, now, candidates=len(left))
+    return best, describe_choice(best, context, now, candidates=len(left))
 
 
-def by_affinity(candidates: Sequence[WorkerBelief], affinity: str) -> list[WorkerBelief]:
+def rank_by_affinity(candidates: Sequence[TrackedWorker], affinity: str) -> list[TrackedWorker]:
     """Workers in the order in which a text prefers them, alike at all boxes (rendezvous hash)."""
-    return sorted(candidates, key=lambda belief: weight(affinity, belief.worker.id), reverse=True)
+    return sorted(
+        candidates, key=lambda tracked: rendezvous_weight(affinity, tracked.worker.id), reverse=True
+    )
 
 
-def describe(
-    belief: WorkerBelief, around: Surroundings, now: float, *, candidates: int
-) -> ChoiceInput:
+def describe_choice(
+    tracked: TrackedWorker, context: ChoiceContext, now: float, *, candidates: int
+) -> ChoiceRecord:
     """What is known of a chosen worker, for the log."""
-    return ChoiceInput(
-        worker=belief.worker.id,
-        cost=round(cost_of(belief, around, now), 3),
-        in_flight=belief.in_flight,
-        others=others_at(belief, around, now),
-        failures=round(belief.failure_score(now), 3),
-        age_s=round(now - belief.listed_at, 3),
+    return ChoiceRecord(
+        worker=tracked.worker.id,
+        cost=round(cost_of(tracked, context, now), 3),
+        in_flight=tracked.in_flight,
+        others=other_boxes_load(tracked, context, now),
+        failures=round(tracked.failure_score(now), 3),
+        age_s=round(now - tracked.listed_at, 3),
         candidates=candidates,
     )
 
--- a/tests/systems/test_size_lanes.py
+++ b/tests/systems/test_size_lanes.py
@@ -28,13 +28,13 @@
     for n in range(number):
         worker = Worker(id=f"d{n}", service="llm", host="h", port=n, zone="a", stage=Stage.DECODE)
         table.upsert(worker, 0.0)
-    return list(table.beliefs_by_id.values())
+    return list(table.tracked_by_id.values())
 
 
 def served_shares(rng, rate, *, has_lanes):
     """Return the shares of large and of all requests that found room."""
-    beliefs = engines()
-    free = {belief.worker.id: KV_TOKENS for belief in beliefs}
+    tracked_workers = engines()
+    free = {tracked.worker.id: KV_TOKENS for tracked in tracked_workers}
     demand = RecentDemand()
     ends, waiting = [], []
     counts = {True: [0, 0], False: [0, 0]}
@@ -57,7 +57,7 @@
             large = is_large(tokens, KV_TOKENS)
             full = {engine for engine, room in free.items() if room < tokens}
             candidates = lane_candidates(
-                beliefs, is_large_request=large, share=share, rejected_ids=full
+                tracked_workers, is_large_request=large, share=share, rejected_ids=full
             )
             fits = [b.worker.id for b in candidates if free[b.worker.id] >= tokens]
             if fits:
@@ -99,39 +99,42 @@
 def test_without_large_requests_there_is_no_lane():
     counts = DemandCounts(asks=50, prompt_tokens=50 * 3000, granted=20)
     assert lane_share(counts, KV_TOKENS) == 0.0
-    beliefs = engines()
-    assert lane_candidates(beliefs, is_large_request=False, share=0.0, rejected_ids=()) == beliefs
+    tracked_workers = engines()
+    assert (
+        lane_candidates(tracked_workers, is_large_request=False, share=0.0, rejected_ids=())
+        == tracked_workers
+    )
 
 
 def test_all_boxes_choose_the_same_engines_for_the_lane():
-    beliefs = engines()
-    other_order = list(reversed(beliefs))
+    tracked_workers = engines()
+    other_order = list(reversed(tracked_workers))
     lanes = [
         {
             b.worker.id
             for b in lane_candidates(order, is_large_request=True, share=0.25, rejected_ids=())
         }
-        for order in (beliefs, other_order)
+        for order in (tracked_workers, other_order)
     ]
     assert lanes[0] == lanes[1]
     assert len(lanes[0]) == 5
-    rest = lane_candidates(beliefs, is_large_request=False, share=0.25, rejected_ids=())
+    rest = lane_candidates(tracked_workers, is_large_request=False, share=0.25, rejected_ids=())
     assert not lanes[0] & {b.worker.id for b in rest}
 
 
 def test_a_large_request_may_use_the_rest_once_the_lane_is_full():
-    beliefs = engines()
-    lane = lane_candidates(beliefs, is_large_request=True, share=0.25, rejected_ids=())
+    tracked_workers = engines()
+    lane = lane_candidates(tracked_workers, is_large_request=True, share=0.25, rejected_ids=())
     full = {b.worker.id for b in lane}
-    more = lane_candidates(beliefs, is_large_request=True, share=0.25, rejected_ids=full)
+    more = lane_candidates(tracked_workers, is_large_request=True, share=0.25, rejected_ids=full)
     assert len(more) == 15
 
 
 @pytest.mark.parametrize("number", [1, 2])
 def test_a_service_too_small_for_a_lane_is_not_divided(number):
-    beliefs = engines(number)
+    tracked_workers = engines(number)
     for large in (True, False):
         assert (
-            len(lane_candidates(beliefs, is_large_request=large, share=0.2, rejected_ids=()))
+            len(lane_candidates(tracked_workers, is_large_request=large, share=0.2, rejected_ids=()))
             == number
         )
