--- a/src/croftchute/forwarding/boxes/worker_permits.py
+++ b/src/croftchute/forwarding/boxes/worker_permits.py
@@ -8,7 +8,7 @@
 from croftchute.forwarding.boxes.limits import Allowance
 from croftchute.forwarding.boxes.shared_rates import RateGroup, SharedRates
 from croftchute.forwarding.decision_log import Decision
-from croftchute.forwarding.permits import ONE_CALL, PermitWish
+from croftchute.forwarding.permits import ONE_CALL, PermitRequest
 from croftchute.forwarding.state import ForwardingState
 from croftchute.systems.usage_bucket import LimitTerms
 from croftchute.systems.worker_limits import NamedLimit
@@ -90,7 +90,7 @@
         self.rates = rates
         self.group = group
 
-    async def take(self, worker: Worker, wish: PermitWish = ONE_CALL) -> bool:
+    async def acquire(self, worker: Worker, permit_request: PermitRequest = ONE_CALL) -> bool:
         """Whether the calls of a worker may be made now; see :class:`CallPermits`."""
         now = self.state.clock()
         limits = self.state.workers.limits
@@ -101,24 +101,24 @@
             return False
         want = UsageWant(
             name=worker.id,
-            units=float(wish.calls),
+            units=float(permit_request.calls),
             rate_per_s=named.per_s,
             known_for_s=now - named.named_at,
-            kept_back=min(MOST_KEPT_BACK, KEPT_BACK_A_RANK * wish.rank),
+            kept_back=min(MOST_KEPT_BACK, KEPT_BACK_A_RANK * permit_request.rank),
         )
-        allowance = await self.rates.take(self.group, want, patience_s=wish.patience_s)
+        allowance = await self.rates.take(self.group, want, patience_s=permit_request.patience_s)
         if allowance.is_granted:
             return True
-        self._close(named, worker, allowance, wish)
+        self._close(named, worker, allowance, permit_request)
         return False
 
-    def give_back(self, worker: Worker, calls: int = 1) -> None:
+    def release(self, worker: Worker, calls: int = 1) -> None:
         """Calls that were not made; a worker without a limit has no use for them."""
         if self.state.workers.limits.limit_of(worker.id, self.state.clock()) is not None:
             self.rates.give_back(self.group, worker.id, float(calls))
 
     def _close(
-        self, named: NamedLimit, worker: Worker, allowance: Allowance, wish: PermitWish
+        self, named: NamedLimit, worker: Worker, allowance: Allowance, permit_request: PermitRequest
     ) -> None:
         """Pass the worker over until it takes calls again.
 
@@ -130,11 +130,11 @@
         self.state.metrics.permits.inc({"outcome": allowance.outcome.value})
         self.state.log.decide(
             Decision.PERMIT_DENIED,
-            request_id=wish.request_id,
+            request_id=permit_request.request_id,
             outcome=allowance.outcome.value,
             worker=worker.id,
-            calls=wish.calls,
-            rank=wish.rank,
+            calls=permit_request.calls,
+            rank=permit_request.rank,
             limit_per_s=named.per_s,
             limit_age_s=round(now - named.named_at, 2),
             pool=allowance.pool,
--- a/src/croftchute/forwarding/permits.py
+++ b/src/croftchute/forwarding/permits.py
@@ -9,7 +9,7 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class PermitWish:
+class PermitRequest:
     """Calls that are to be made, and by what the places are given where they are scarce.
 
     ``patience_s`` is how long the calls may be held for a permit that comes soon; ``rank`` is how
@@ -22,30 +22,30 @@
     request_id: str = ""
 
 
-ONE_CALL = PermitWish()
+ONE_CALL = PermitRequest()
 
 
 class CallPermits(Protocol):
     """Permits for calls of workers that name a limit for all boxes together."""
 
-    async def take(self, worker: Worker, wish: PermitWish = ONE_CALL) -> bool:
+    async def acquire(self, worker: Worker, permit_request: PermitRequest = ONE_CALL) -> bool:
         """Whether the calls of a worker may be made now; a worker without a limit takes any.
 
         A worker that takes none for the moment is closed in the table until it takes one again.
         """
         ...
 
-    def give_back(self, worker: Worker, calls: int = 1) -> None:
+    def release(self, worker: Worker, calls: int = 1) -> None:
         """Calls that were not made after all."""
         ...
 
 
-class AnyNumber:
+class UnlimitedPermits:
     """Permits without a limit, for what runs without other boxes."""
 
-    async def take(self, worker: Worker, wish: PermitWish = ONE_CALL) -> bool:
+    async def acquire(self, worker: Worker, permit_request: PermitRequest = ONE_CALL) -> bool:
         """Every call may be made."""
         return True
 
-    def give_back(self, worker: Worker, calls: int = 1) -> None:
+    def release(self, worker: Worker, calls: int = 1) -> None:
         """Nothing was taken."""
--- a/src/croftchute/forwarding/state.py
+++ b/src/croftchute/forwarding/state.py
@@ -14,7 +14,7 @@
 from croftchute.forwarding.http.connection_pool import ConnectionPool
 from croftchute.forwarding.http.silence import KNOWLEDGE, SilenceLimits
 from croftchute.forwarding.http.transfer import Transfer
-from croftchute.forwarding.permits import AnyNumber, CallPermits
+from croftchute.forwarding.permits import CallPermits, UnlimitedPermits
 from croftchute.forwarding.traffic_metrics import TrafficMetrics
 from croftchute.router_settings import Conditions, DecisionWays
 from croftchute.storage.position import era_of, told
@@ -138,7 +138,7 @@
     crashes: CrashRecords = field(default_factory=CrashRecords)
     lives_looked_at: set[str] = field(default_factory=set)
     on_crash_news: Callable[[list[str]], None] = lambda _: None
-    permits: CallPermits = field(default_factory=AnyNumber)
+    permits: CallPermits = field(default_factory=UnlimitedPermits)
     on_limit_news: Callable[[], None] = lambda: None
     store_era: int | None = None
     on_restored: list[Callable[[], None]] = field(default_factory=list)
--- a/src/croftchute/forwarding/workers/decode_room.py
+++ b/src/croftchute/forwarding/workers/decode_room.py
@@ -143,7 +143,7 @@
             if found is None:
                 return None
             if engine is None or engine.hold_ttl_s <= 0.0:
-                if await run.take_permit(found[0]):
+                if await run.acquire_permit(found[0]):
                     self._permit_at = found[0].worker
                     return found
                 continue
@@ -165,7 +165,7 @@
         self, belief: WorkerBelief, chosen: ChoiceInput, engine: EngineTraits
     ) -> bool:
         """Ask a worker for room if it takes that call, and the request behind it."""
-        if not await self.run.take_permit(belief, calls=HOLD_AND_REQUEST):
+        if not await self.run.acquire_permit(belief, calls=HOLD_AND_REQUEST):
             return False
         self._permit_at = belief.worker
         is_held = await self._hold_at(belief, chosen, engine)
@@ -239,7 +239,7 @@
 
     def _give_permit_back(self) -> None:
         if self._permit_at is not None:
-            self.run.state.permits.give_back(self._permit_at)
+            self.run.state.permits.release(self._permit_at)
             self._permit_at = None
 
     def _note_full(self, belief: WorkerBelief) -> None:
--- a/src/croftchute/forwarding/workers/end_choice.py
+++ b/src/croftchute/forwarding/workers/end_choice.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, replace
 from typing import Protocol
 
-from croftchute.forwarding.permits import PermitWish
+from croftchute.forwarding.permits import PermitRequest
 from croftchute.forwarding.state import ForwardingState
 from croftchute.forwarding.workers.load_probe import PROBE_TIMEOUT_S, probe_loads
 from croftchute.forwarding.workers.load_reader import KIND_BY_STAGE, usual_answer_s
@@ -87,12 +87,12 @@
         return self._chosen(left, ends, predicted_end.draw_by_end(ends, doubtful, rng))
 
     async def choose_prefill(
-        self, candidates: Sequence[WorkerBelief], *, wish: PermitWish | None
+        self, candidates: Sequence[WorkerBelief], *, permit_request: PermitRequest | None
     ) -> tuple[WorkerBelief, ChoiceInput] | None:
         """The soonest of some prefill workers drawn by speed and probed.
 
-        ``wish`` is for permits of the probes; None asks for no probes. Without any answer to them
-        a worker is drawn as others are.
+        ``permit_request`` is for permits of the probes; None asks for no probes. Without any
+        answer to them a worker is drawn as others are.
         """
         state = self.state
         left = predicted_end.without_doubtful(
@@ -108,8 +108,10 @@
         table = state.table
         service = table.services_by_name.get(self.service) if table is not None else None
         loads_by_id = {}
-        if wish is not None and service is not None and len(drawn) > 1:
-            loads_by_id = await probe_loads(state, service, drawn, PROBE_TIMEOUT_S, wish=wish)
+        if permit_request is not None and service is not None and len(drawn) > 1:
+            loads_by_id = await probe_loads(
+                state, service, drawn, PROBE_TIMEOUT_S, permit_request=permit_request
+            )
         if not loads_by_id:
             # By old news alone the soonest of three is the same one for too many boxes.
             return self.choose(left)
--- a/src/croftchute/forwarding/workers/load_probe.py
+++ b/src/croftchute/forwarding/workers/load_probe.py
@@ -8,7 +8,7 @@
 from croftchute.forwarding.dialect import Verdict, WorkerLoad
 from croftchute.forwarding.http.deadline import within
 from croftchute.forwarding.http.failures import ExchangeError
-from croftchute.forwarding.permits import ONE_CALL, PermitWish
+from croftchute.forwarding.permits import ONE_CALL, PermitRequest
 from croftchute.forwarding.state import ForwardingState
 from croftchute.forwarding.workers.worker_control import control_exchange
 from croftchute.systems.worker_belief import WorkerBelief
@@ -28,7 +28,7 @@
     workers: Sequence[WorkerBelief],
     timeout_s: float,
     *,
-    wish: PermitWish = ONE_CALL,
+    permit_request: PermitRequest = ONE_CALL,
 ) -> dict[str, WorkerLoad]:
     """The loads by id of the workers that told theirs in time; all are asked at once.
 
@@ -38,7 +38,9 @@
         return {}
     loads_by_id: dict[str, WorkerLoad] = {}
     probes: set[asyncio.Task[None]] = {
-        asyncio.ensure_future(_probe(state, service.health_path, belief, wish, loads_by_id))
+        asyncio.ensure_future(
+            _probe(state, service.health_path, belief, permit_request, loads_by_id)
+        )
         for belief in workers
     }
     for probe in probes:
@@ -52,16 +54,16 @@
     state: ForwardingState,
     path: str,
     belief: WorkerBelief,
-    wish: PermitWish,
+    permit_request: PermitRequest,
     loads_by_id: dict[str, WorkerLoad],
 ) -> None:
     asked_at = state.clock()
     worker = belief.worker
-    if not await state.permits.take(worker, wish):
+    if not await state.permits.acquire(worker, permit_request):
         return
     if state.clock() - asked_at > PROBE_TIMEOUT_S:
         # The request has gone on without it.
-        state.permits.give_back(worker)
+        state.permits.release(worker)
         return
     data = state.workers_speak.ask_health(worker, path)
     try:
--- a/src/croftchute/forwarding/workers/plain_admission.py
+++ b/src/croftchute/forwarding/workers/plain_admission.py
@@ -36,7 +36,9 @@
     if len(workers) < 2 or not plain_queue.is_busy(workers, run.now):
         return None
     asked = run.state.rng.sample(workers, min(MOST_PROBES, len(workers)))
-    await probe_loads(run.state, service, asked, PROBE_TIMEOUT_S, wish=run.permit_wish())
+    await probe_loads(
+        run.state, service, asked, PROBE_TIMEOUT_S, permit_request=run.permit_request()
+    )
     loads_by_id = {
         belief.worker.id: load for belief in asked if (load := _load(run.state, belief)) is not None
     }
--- a/src/croftchute/forwarding/workers/plain_run.py
+++ b/src/croftchute/forwarding/workers/plain_run.py
@@ -53,10 +53,10 @@
         found = run.choose(None) if admission is None else admission.found
         if found is None:
             break
-        if not await run.take_permit(found[0]):
+        if not await run.acquire_permit(found[0]):
             continue
         if not run.may_send_again():
-            run.state.permits.give_back(found[0].worker)
+            run.state.permits.release(found[0].worker)
             break
         answer = await _attempt(run, *found, progress)
         if answer is not None:
@@ -80,7 +80,7 @@
         return await _take(run, call, head, progress)
     except ConnectFailedError as error:
         run.connect_failures += 1
-        run.state.permits.give_back(belief.worker)
+        run.state.permits.release(belief.worker)
         call.failed(error)
         progress.code, progress.detail = error.code, error.message
     except ExchangeError as error:
--- a/src/croftchute/forwarding/workers/prompt_reader.py
+++ b/src/croftchute/forwarding/workers/prompt_reader.py
@@ -61,7 +61,7 @@
                 return None
             if not self._is_better_ahead(*found, decode):
                 return None
-            if not await run.take_permit(found[0]):
+            if not await run.acquire_permit(found[0]):
                 continue
             refusals = self._refusals
             handle = await self._read(*found)
@@ -77,9 +77,11 @@
         near = decode.worker.zone
         if not chooses_by_end(run.state, run.service):
             return run.choose(Stage.PREFILL, near=near)
-        wish = run.permit_wish() if may_probe else None
+        permit_request = run.permit_request() if may_probe else None
         choice = run.end_choice(Stage.PREFILL, near=near)
-        return await choice.choose_prefill(run.candidates(Stage.PREFILL), wish=wish)
+        return await choice.choose_prefill(
+            run.candidates(Stage.PREFILL), permit_request=permit_request
+        )
 
     def taken(self) -> None:
         """A decode worker has taken the handle."""
@@ -154,7 +156,7 @@
             return await self._take_handle(call)
         except ConnectFailedError as error:
             self._refusals += 1
-            run.state.permits.give_back(belief.worker)
+            run.state.permits.release(belief.worker)
             call.failed(error)
         except ExchangeError as error:
             run.arrivals += 1
--- a/src/croftchute/forwarding/workers/request_run.py
+++ b/src/croftchute/forwarding/workers/request_run.py
@@ -6,7 +6,7 @@
 from croftchute.forwarding.decision_log import Decision
 from croftchute.forwarding.dialect import Refusal
 from croftchute.forwarding.http.exchange import Exchange
-from croftchute.forwarding.permits import PermitWish
+from croftchute.forwarding.permits import PermitRequest
 from croftchute.forwarding.state import ForwardingState
 from croftchute.forwarding.workers.end_choice import EndChoice, chooses_by_end
 from croftchute.forwarding.workers.room_report import count_refusal, order_facts
@@ -239,7 +239,7 @@
             belief, self.surroundings(belief.worker.stage), self.now, candidates=candidates
         )
 
-    async def take_permit(self, belief: WorkerBelief, *, calls: int = 1) -> bool:
+    async def acquire_permit(self, belief: WorkerBelief, *, calls: int = 1) -> bool:
         """Leave for calls of a chosen worker; False if it may not be used now after all.
 
         A request that others could serve does not wait for it.
@@ -252,20 +252,22 @@
         others = [b for b in usable if b is not belief and b.worker.id not in self.avoid]
         wishes = state.workers.wishes
         wish = wishes.told_by(worker.id, self.now)
-        asked = self.permit_wish(calls=calls, patience_s=0.0 if others else self.time_left_s)
-        may_call = await state.permits.take(worker, asked)
+        asked = self.permit_request(calls=calls, patience_s=0.0 if others else self.time_left_s)
+        may_call = await state.permits.acquire(worker, asked)
         if may_call and wishes.told_by(worker.id, self.now) != wish:
             # It said so while the permit was asked for: it is chosen anew, or another one.
-            state.permits.give_back(worker, calls)
+            state.permits.release(worker, calls)
             return False
         return may_call
 
-    def permit_wish(self, *, calls: int = 1, patience_s: float = 0.0) -> PermitWish:
+    def permit_request(self, *, calls: int = 1, patience_s: float = 0.0) -> PermitRequest:
         """What the request asks of a worker that names a limit."""
         rank = self.rank
         if not self.is_ordered:
             rank = max(0, rank - self.state.most_urgent(self.service))
-        return PermitWish(calls=calls, patience_s=patience_s, rank=rank, request_id=self.facts.id)
+        return PermitRequest(
+            calls=calls, patience_s=patience_s, rank=rank, request_id=self.facts.id
+        )
 
     def may_send_again(self) -> bool:
         """Take a repeat out of the budget; the first sending needs none.
--- a/src/croftchute/forwarding/workers/worker_control.py
+++ b/src/croftchute/forwarding/workers/worker_control.py
@@ -14,7 +14,7 @@
     ExchangeError,
 )
 from croftchute.forwarding.http.http_client import ResponseHead
-from croftchute.forwarding.permits import PermitWish
+from croftchute.forwarding.permits import PermitRequest
 from croftchute.forwarding.state import ForwardingState
 from croftchute.forwarding.workers.load_reader import note_told_pace
 from croftchute.forwarding.workers.wish_reader import note_displaced, note_wish
@@ -137,7 +137,7 @@
 
 async def ask_kept_parts(state: ForwardingState, worker: Worker) -> dict[str, int]:
     """Tokens that a worker keeps by prompt part; ExchangeError or MessageError if it fails."""
-    if not await state.permits.take(worker):
+    if not await state.permits.acquire(worker):
         return {}
     data = state.workers_speak.ask_kept(worker)
     status, body = await control_call(state, worker, data, patience.KEPT_TIMEOUT_S)
@@ -148,7 +148,7 @@
     state: ForwardingState, worker: Worker, stage: Stage, *, holder: str, token: int
 ) -> int:
     """Order a worker to change its stage, if nothing was ordered since it was asked."""
-    if not await state.permits.take(worker, PermitWish(calls=REPORT_AND_ORDER)):
+    if not await state.permits.acquire(worker, PermitRequest(calls=REPORT_AND_ORDER)):
         return STATUS_NOT_PERMITTED
     status, body = await control_call(
         state, worker, state.workers_speak.ask_report(worker), patience.CONNECT_S
@@ -169,7 +169,7 @@
 async def _release(
     state: ForwardingState, worker: Worker, data: bytes, kind: Decision, request_id: str
 ) -> None:
-    may_call = await _has_rested(state, worker) and await state.permits.take(worker)
+    may_call = await _has_rested(state, worker) and await state.permits.acquire(worker)
     if not may_call:
         state.log.decide(kind, request_id=request_id, outcome="left to lapse", worker=worker.id)
         return
--- a/src/croftchute/soak/box_program.py
+++ b/src/croftchute/soak/box_program.py
@@ -35,7 +35,7 @@
 )
 from croftchute.forwarding.http.failures import AnswerLateError  # noqa: E402
 from croftchute.forwarding.http.http_client import ClientConnection  # noqa: E402
-from croftchute.forwarding.permits import ONE_CALL, PermitWish  # noqa: E402
+from croftchute.forwarding.permits import ONE_CALL, PermitRequest  # noqa: E402
 from croftchute.forwarding.state import ForwardingState  # noqa: E402
 from croftchute.forwarding.store import store_follower  # noqa: E402
 from croftchute.forwarding.store.crash_register import CrashRegister  # noqa: E402
@@ -254,10 +254,10 @@
     """Have each box keep the limits that workers name by itself, as if it were the only one."""
     buckets: dict[str, UsageBucket] = {}
 
-    async def take(
+    async def acquire(
         self: WorkerPermits,
         worker: Worker,
-        wish: PermitWish = ONE_CALL,
+        permit_request: PermitRequest = ONE_CALL,
     ) -> bool:
         now = self.state.clock()
         per_s = self.state.workers.limits.limit_of(worker.id, now)
@@ -267,12 +267,12 @@
         capacity = WORKER_TERMS.capacity(limit)
         bucket = buckets.setdefault(worker.id, UsageBucket(level=capacity, filled_to=now))
         bucket.fill(now, limit=limit, capacity=capacity)
-        if bucket.take(float(wish.calls), extra=0.0, capacity=capacity):
+        if bucket.take(float(permit_request.calls), extra=0.0, capacity=capacity):
             return True
         self.state.workers.limits.by_id[worker.id].closed_until = now + MIN_CLOSED_S
         return False
 
-    WorkerPermits.take = take  # type: ignore[method-assign]
+    WorkerPermits.acquire = acquire  # type: ignore[method-assign]
 
 
 def eras_ignored() -> None:
--- a/tests/platform_adapter/test_load_probe.py
+++ b/tests/platform_adapter/test_load_probe.py
@@ -240,11 +240,11 @@
             asked = []
 
             class NoneLeft:
-                async def take(self, worker, wish):
+                async def acquire(self, worker, permit_request):
                     asked.append(worker.id)
                     return worker.id != limited.id
 
-                def give_back(self, worker, calls=1):
+                def release(self, worker, calls=1):
                     raise AssertionError("nothing was taken")
 
             box.state.permits = NoneLeft()
