--- a/src/croftchute/daemon/router_process.py
+++ b/src/croftchute/daemon/router_process.py
@@ -29,8 +29,8 @@
 from croftchute.forwarding.store.hall_news import KNOWN_PATH, NEWS_PATH
 from croftchute.forwarding.store.store_follower import StoreFollower
 from croftchute.forwarding.supervision import Task, keep_going
-from croftchute.forwarding.workers.order_gauges import update_order_gauges
-from croftchute.forwarding.workers.stage_orders import StageOrders
+from croftchute.forwarding.workers.queue_gauges import update_order_gauges
+from croftchute.forwarding.workers.stage_coordinator import StageOrders
 from croftchute.peers.codec import Codec
 from croftchute.peers.messages import BoxNotice
 from croftchute.router_settings import RouterSettings, parse_address, read_router_settings
--- a/src/croftchute/forwarding/boxes/peer_exchange.py
+++ b/src/croftchute/forwarding/boxes/peer_exchange.py
@@ -12,8 +12,8 @@
 from croftchute.errors import MessageError
 from croftchute.forwarding.decision_log import Decision
 from croftchute.forwarding.state import ForwardingState
-from croftchute.forwarding.workers.load_reader import note_pace_heard
-from croftchute.forwarding.workers.wish_reader import note_leaving_heard, note_limit_heard
+from croftchute.forwarding.workers.load_and_pace import note_pace_heard
+from croftchute.forwarding.workers.worker_signals import note_leaving_heard, note_limit_heard
 from croftchute.peers.codec import Codec, Envelope
 from croftchute.peers.messages import (
     AllowanceAsk,
--- a/src/croftchute/forwarding/workers/end_choice.py
+++ b/src/croftchute/forwarding/workers/completion_time_selector.py
@@ -9,8 +9,8 @@
 
 from croftchute.forwarding.permits import PermitRequest
 from croftchute.forwarding.state import ForwardingState
+from croftchute.forwarding.workers.load_and_pace import KIND_BY_STAGE, usual_answer_s
 from croftchute.forwarding.workers.load_probe import PROBE_TIMEOUT_S, probe_loads
-from croftchute.forwarding.workers.load_reader import KIND_BY_STAGE, usual_answer_s
 from croftchute.systems import patience, predicted_end
 from croftchute.systems.predicted_end import PlacementWay, UsualTimes
 from croftchute.systems.prefill_queue import ReadingTimes
--- a/src/croftchute/forwarding/workers/decode_room.py
+++ b/src/croftchute/forwarding/workers/decode_reservation.py
@@ -9,9 +9,9 @@
 from croftchute.forwarding.decision_log import Decision
 from croftchute.forwarding.dialect import Hold
 from croftchute.forwarding.http.failures import ExchangeError
+from croftchute.forwarding.workers.queue_reporting import order_facts
 from croftchute.forwarding.workers.request_run import RequestRun
-from croftchute.forwarding.workers.room_report import order_facts
-from croftchute.forwarding.workers.room_turn import (
+from croftchute.forwarding.workers.room_wait_policy import (
     PollingTurn,
     RankedTurn,
     RequestUse,
--- a/src/croftchute/forwarding/workers/plain_run.py
+++ b/src/croftchute/forwarding/workers/plain_run.py
@@ -12,7 +12,7 @@
     ExchangeError,
 )
 from croftchute.forwarding.http.http_client import ResponseHead
-from croftchute.forwarding.workers.answer_end import answered_once_read
+from croftchute.forwarding.workers.answer_completion import answered_once_read
 from croftchute.forwarding.workers.plain_admission import admit, refuse_late
 from croftchute.forwarding.workers.request_run import RequestRun
 from croftchute.forwarding.workers.worker_call import WorkerCall
--- a/src/croftchute/forwarding/workers/prompt_reader.py
+++ b/src/croftchute/forwarding/workers/prompt_prefill.py
@@ -10,8 +10,8 @@
     ConnectionBrokenError,
     ExchangeError,
 )
-from croftchute.forwarding.workers.end_choice import chooses_by_end, reading_times
-from croftchute.forwarding.workers.load_reader import note_reading_pace
+from croftchute.forwarding.workers.completion_time_selector import chooses_by_end, reading_times
+from croftchute.forwarding.workers.load_and_pace import note_reading_pace
 from croftchute.forwarding.workers.request_run import RequestRun
 from croftchute.forwarding.workers.worker_call import WorkerCall
 from croftchute.forwarding.workers.worker_control import free_handle
--- a/src/croftchute/forwarding/workers/order_gauges.py
+++ b/src/croftchute/forwarding/workers/queue_gauges.py
@@ -6,7 +6,7 @@
 
 from croftchute.forwarding.state import ForwardingState
 from croftchute.forwarding.traffic_metrics import replace_values
-from croftchute.forwarding.workers.load_reader import KIND_BY_STAGE
+from croftchute.forwarding.workers.load_and_pace import KIND_BY_STAGE
 from croftchute.systems.room_order import OrderWay
 
 MOST_PACES = 64
--- a/src/croftchute/forwarding/workers/request_run.py
+++ b/src/croftchute/forwarding/workers/request_run.py
@@ -8,8 +8,8 @@
 from croftchute.forwarding.http.exchange import Exchange
 from croftchute.forwarding.permits import PermitRequest
 from croftchute.forwarding.state import ForwardingState
-from croftchute.forwarding.workers.end_choice import EndChoice, chooses_by_end
-from croftchute.forwarding.workers.room_report import count_refusal, order_facts
+from croftchute.forwarding.workers.completion_time_selector import EndChoice, chooses_by_end
+from croftchute.forwarding.workers.queue_reporting import count_refusal, order_facts
 from croftchute.systems import patience
 from croftchute.systems.fair_shares import ShareVerdict
 from croftchute.systems.room_order import OrderWay, room_rank
--- a/src/croftchute/forwarding/workers/room_turn.py
+++ b/src/croftchute/forwarding/workers/room_wait_policy.py
@@ -5,8 +5,8 @@
 import math
 from typing import Protocol
 
+from croftchute.forwarding.workers.queue_reporting import count_over_share
 from croftchute.forwarding.workers.request_run import RequestRun
-from croftchute.forwarding.workers.room_report import count_over_share
 from croftchute.systems import room_order
 from croftchute.systems.room_forecast import RoomHistory
 
--- a/src/croftchute/forwarding/workers/stream_run.py
+++ b/src/croftchute/forwarding/workers/stream_run.py
@@ -17,11 +17,11 @@
     ExchangeError,
 )
 from croftchute.forwarding.http.http_client import ResponseHead
-from croftchute.forwarding.workers.answer_end import answered_once_read
-from croftchute.forwarding.workers.decode_room import DecodeRoom
-from croftchute.forwarding.workers.kept_prompts import find_keeper
-from croftchute.forwarding.workers.part_reader import PartReader
-from croftchute.forwarding.workers.prompt_reader import PromptReader
+from croftchute.forwarding.workers.answer_completion import answered_once_read
+from croftchute.forwarding.workers.chunk_reader import PartReader
+from croftchute.forwarding.workers.decode_reservation import DecodeRoom
+from croftchute.forwarding.workers.prompt_cache_lookup import find_keeper
+from croftchute.forwarding.workers.prompt_prefill import PromptReader
 from croftchute.forwarding.workers.request_run import RequestRun
 from croftchute.forwarding.workers.worker_call import WorkerCall
 from croftchute.systems import patience
--- a/src/croftchute/forwarding/workers/worker_call.py
+++ b/src/croftchute/forwarding/workers/worker_call.py
@@ -10,10 +10,10 @@
 from croftchute.forwarding.http.deadline import within
 from croftchute.forwarding.http.failures import AnswerLateError, CallerSlowError, ExchangeError
 from croftchute.forwarding.http.http_client import ClientConnection, ResponseHead
-from croftchute.forwarding.workers.crash_watch import note_broken
-from croftchute.forwarding.workers.load_reader import note_answer_pace, note_load
+from croftchute.forwarding.workers.crash_detection import note_broken
+from croftchute.forwarding.workers.load_and_pace import note_answer_pace, note_load
 from croftchute.forwarding.workers.request_run import RequestRun
-from croftchute.forwarding.workers.wish_reader import note_displaced, note_wish
+from croftchute.forwarding.workers.worker_signals import note_displaced, note_wish
 from croftchute.systems import patience
 from croftchute.systems.worker_belief import WorkerBelief
 from croftchute.systems.worker_choice import ChoiceInput
--- a/src/croftchute/forwarding/workers/worker_control.py
+++ b/src/croftchute/forwarding/workers/worker_control.py
@@ -16,8 +16,8 @@
 from croftchute.forwarding.http.http_client import ResponseHead
 from croftchute.forwarding.permits import PermitRequest
 from croftchute.forwarding.state import ForwardingState
-from croftchute.forwarding.workers.load_reader import note_told_pace
-from croftchute.forwarding.workers.wish_reader import note_displaced, note_wish
+from croftchute.forwarding.workers.load_and_pace import note_told_pace
+from croftchute.forwarding.workers.worker_signals import note_displaced, note_wish
 from croftchute.systems import patience
 from croftchute.tables.routing import Stage, Worker
 
--- a/tests/forwarding/workers/test_stage_orders.py
+++ b/tests/forwarding/workers/test_stage_coordinator.py
@@ -6,8 +6,8 @@
 from platform_fleet import fleet, run
 
 from croftchute.forwarding.http.failures import AnswerLateError
-from croftchute.forwarding.workers import stage_orders
-from croftchute.forwarding.workers.stage_orders import LEASE_KEY, Turn
+from croftchute.forwarding.workers import stage_coordinator
+from croftchute.forwarding.workers.stage_coordinator import LEASE_KEY, Turn
 from croftchute.router_settings import DecisionWays
 from croftchute.systems.service_capacity import EnginePower, SplitWay
 from croftchute.systems.stage_balance import StageChange, wanted_changes
@@ -28,7 +28,7 @@
             raise answer
         return answer
 
-    monkeypatch.setattr(stage_orders, "give_stage_order", give)
+    monkeypatch.setattr(stage_coordinator, "give_stage_order", give)
     if has_lost_lease:
         made.store.put(LEASE_KEY, {"holder": "another"})
     worker = box.state.workers.beliefs_by_id["p0"].worker
@@ -99,7 +99,7 @@
 
 
 def test_workers_that_leave_or_rest_get_no_order(monkeypatch):
-    monkeypatch.setattr(stage_orders, "LASTS_S", 0.0)
+    monkeypatch.setattr(stage_coordinator, "LASTS_S", 0.0)
 
     async def body():
         async with fleet() as made:
@@ -119,8 +119,8 @@
 
 async def add_demand(made, monkeypatch, split):
     """A box with 3 prefill workers and 1 decode worker, and long answers asked for."""
-    monkeypatch.setattr(stage_orders, "LASTS_S", 0.0)
-    monkeypatch.setattr(stage_orders, "PREFILL_LASTS_S", 0.0)
+    monkeypatch.setattr(stage_coordinator, "LASTS_S", 0.0)
+    monkeypatch.setattr(stage_coordinator, "PREFILL_LASTS_S", 0.0)
     box = await made.add_box()
     for name in ("p0", "p1", "p2"):
         await made.add_worker(name, service="llm", stage="prefill")
--- a/tests/platform_adapter/test_leaving_workers.py
+++ b/tests/platform_adapter/test_leaving_workers.py
@@ -19,7 +19,7 @@
 from platform_fleet import ask, fleet, run, until
 from stream_fleet import PARTS, engines, prefer
 
-from croftchute.forwarding.workers.crash_watch import note_broken
+from croftchute.forwarding.workers.crash_detection import note_broken
 from croftchute.systems.worker_belief import GONE_GRACE_S
 
 LATER_REQUESTS = 12
--- a/tests/platform_adapter/test_load_probe.py
+++ b/tests/platform_adapter/test_load_probe.py
@@ -10,7 +10,7 @@
 
 from croftchute.forwarding.decision_log import Decision
 from croftchute.forwarding.workers.load_probe import PROBE_TIMEOUT_S, probe_loads
-from croftchute.forwarding.workers.prompt_reader import PromptReader
+from croftchute.forwarding.workers.prompt_prefill import PromptReader
 from croftchute.forwarding.workers.request_run import RequestRun
 from croftchute.systems.predicted_end import PlacementWay
 from croftchute.systems.worker_choice import choose
--- a/tests/platform_adapter/test_room_by_rank.py
+++ b/tests/platform_adapter/test_room_by_rank.py
@@ -15,7 +15,7 @@
 )
 from stream_fleet import engines
 
-from croftchute.forwarding.workers.decode_room import DecodeRoom
+from croftchute.forwarding.workers.decode_reservation import DecodeRoom
 from croftchute.systems.room_order import MIN_WAITED_S
 
 ORDER_FIELDS = {"rank", "room_rank", "entry_rank", "entry_age_s"}
--- a/tests/platform_adapter/test_streams_order.py
+++ b/tests/platform_adapter/test_streams_order.py
@@ -17,7 +17,7 @@
 from stream_fleet import engines, ran
 
 from croftchute.forwarding.http.failures import ConnectFailedError
-from croftchute.forwarding.workers.decode_room import DecodeRoom
+from croftchute.forwarding.workers.decode_reservation import DecodeRoom
 from croftchute.forwarding.workers.worker_call import WorkerCall
 
 ROUTES = [
--- a/tests/systems/test_ranked_turn.py
+++ b/tests/systems/test_ranked_turn.py
@@ -7,7 +7,7 @@
 
 from croftchute.errors import Code
 from croftchute.forwarding.decision_log import Decision
-from croftchute.forwarding.workers.room_report import order_facts
+from croftchute.forwarding.workers.queue_reporting import order_facts
 from croftchute.systems.room_forecast import PRIOR_WAIT_S, RoomCounts
 from croftchute.systems.room_order import (
     LAST_CHANCE_S,
--- a/tests/systems/test_unordered_room.py
+++ b/tests/systems/test_unordered_room.py
@@ -9,7 +9,7 @@
 
 from croftchute.errors import Code, Ran
 from croftchute.forwarding.decision_log import Decision
-from croftchute.forwarding.workers.room_report import order_facts
+from croftchute.forwarding.workers.queue_reporting import order_facts
 from croftchute.systems import patience
 from croftchute.systems.patience import ReturnWay
 from croftchute.systems.room_forecast import RoomWait
