--- a/src/croftchute/daemon/router_process.py
+++ b/src/croftchute/daemon/router_process.py
@@ -29,8 +29,8 @@
 from croftchute.forwarding.store.hall_news import KNOWN_PATH, NEWS_PATH
 from croftchute.forwarding.store.store_follower import StoreFollower
 from croftchute.forwarding.supervision import Task, keep_going
-from croftchute.forwarding.workers.queue_gauges import update_order_gauges
-from croftchute.forwarding.workers.stage_coordinator import StageOrders
+from croftchute.forwarding.workers.queue_gauges import update_queue_gauges
+from croftchute.forwarding.workers.stage_coordinator import StageCoordinator
 from croftchute.peers.codec import Codec
 from croftchute.peers.messages import BoxNotice
 from croftchute.router_settings import RouterSettings, parse_address, read_router_settings
@@ -85,11 +85,11 @@
             on_change=self._note_readiness,
             link_mbps=settings.link_mbps,
         )
-        self.orders = StageOrders(
+        self.orders = StageCoordinator(
             state=state,
             store=store,
             holder_gap_s=settings.order_gap_s,
-            may_try=lambda: self.follower.is_relay,
+            may_acquire_lease=lambda: self.follower.is_relay,
         )
         control = parse_address(settings.control)
         self.exchange = PeerExchange(
@@ -327,7 +327,7 @@
             self.state.crashes.sweep(now)
             self.state.pool.sweep(now)
             self.state.metrics.open.set({}, self.ingress.open_requests)
-            update_order_gauges(self.state, now)
+            update_queue_gauges(self.state, now)
             self.state.metrics.held_bytes.set({}, self.held.count.total)
 
     def _sweep_limits(self, now: float) -> None:
--- a/src/croftchute/forwarding/callers/forwarder.py
+++ b/src/croftchute/forwarding/callers/forwarder.py
@@ -19,7 +19,7 @@
 
 NO_CONFIG_RETRY_AFTER_S = 0.5
 
-TURNED_AWAY_RETRY_AFTER_S = 0.05
+STOPPING_RETRY_AFTER_S = 0.05
 """Seconds after which a caller of a stopping process may come back: other processes serve it, and
 the balancer sends new connections to them by then. As good as at once, but not a busy loop."""
 
@@ -173,7 +173,7 @@
             code=Code.DRAINING,
             ran=Ran.NOT_RUN,
             detail="this box stops and takes no more requests",
-            retry_after_s=TURNED_AWAY_RETRY_AFTER_S,
+            retry_after_s=STOPPING_RETRY_AFTER_S,
         )
         self._refuse(exchange, request_id, refusal)
 
--- a/src/croftchute/forwarding/store/store_follower.py
+++ b/src/croftchute/forwarding/store/store_follower.py
@@ -11,7 +11,7 @@
 from croftchute.forwarding.state import ForwardingState
 from croftchute.forwarding.store.hall_news import Answer, answer_known, answer_news, prefix_of
 from croftchute.forwarding.store.prefix_follower import PrefixFollower, PrefixHandlers
-from croftchute.forwarding.workers.worker_restart import end_life
+from croftchute.forwarding.workers.worker_restart import close_stale_connections
 from croftchute.storage.position import era_of, position, told
 from croftchute.storage.watched import Changes, Listing, SharedStore, StoredItem, Vocabulary
 from croftchute.systems.hall_relays import HallRelays
@@ -211,7 +211,7 @@
             return
         is_changed = self.state.workers.upsert(worker, self.state.clock(), item)
         for ended in self.state.workers.take_ended():
-            end_life(self.state, ended, revision=item.revision)
+            close_stale_connections(self.state, ended, revision=item.revision)
         if is_changed:
             self.state.log.decide(
                 Decision.WORKER_LISTED,
--- a/src/croftchute/forwarding/workers/answer_completion.py
+++ b/src/croftchute/forwarding/workers/answer_completion.py
@@ -7,7 +7,7 @@
 from croftchute.forwarding.workers.request_run import RequestRun
 
 
-async def answered_once_read(run: RequestRun, status: int, worker: str) -> None:
+async def finish_answer(run: RequestRun, status: int, worker: str) -> None:
     """Wait until nothing of the answer is held for the caller, then log and count it.
 
     One that is not read in the caller's time is broken off. Without bounds for held bytes there is
--- a/src/croftchute/forwarding/workers/chunk_reader.py
+++ b/src/croftchute/forwarding/workers/chunk_reader.py
@@ -10,7 +10,7 @@
 from croftchute.systems import patience
 
 
-class PartReader:
+class ChunkReader:
     """The parts of one attempt, each within the patience that its place in the stream asks for.
 
     Where nobody else could go on at the moment, a pause is borne, and looked at again after each
@@ -22,13 +22,13 @@
         *,
         run: RequestRun,
         call: WorkerCall,
-        first_wait_s: float,
-        may_go_elsewhere: Callable[[], bool],
+        first_chunk_timeout_s: float,
+        can_fail_over: Callable[[], bool],
     ) -> None:
         self.run = run
         self.call = call
-        self.first_wait_s = first_wait_s
-        self.may_go_elsewhere = may_go_elsewhere
+        self.first_chunk_timeout_s = first_chunk_timeout_s
+        self.can_fail_over = can_fail_over
         self._last_at: float | None = None
 
     async def next(self) -> bytes:
@@ -38,14 +38,14 @@
             try:
                 part = await self.call.part(self._wait_s())
             except AnswerLateError:
-                if run.time_left_s <= 0.0 or self.may_go_elsewhere():
+                if run.time_left_s <= 0.0 or self.can_fail_over():
                     raise
                 continue
             if part:
                 self._note_part()
             return part
 
-    def note_resumed(self) -> None:
+    def mark_resumed(self) -> None:
         """The worker was not read for a while: that is no pause of its own."""
         if self._last_at is not None:
             self._last_at = self.run.now
@@ -53,7 +53,7 @@
     def _wait_s(self) -> float:
         run = self.run
         if self._last_at is None:
-            return min(self.first_wait_s, run.time_left_s)
+            return min(self.first_chunk_timeout_s, run.time_left_s)
         return patience.gap_patience(
             run.route, time_left_s=run.time_left_s, pause_s=self.call.belief.pause_s
         )
--- a/src/croftchute/forwarding/workers/completion_time_selector.py
+++ b/src/croftchute/forwarding/workers/completion_time_selector.py
@@ -9,7 +9,7 @@
 
 from croftchute.forwarding.permits import PermitRequest
 from croftchute.forwarding.state import ForwardingState
-from croftchute.forwarding.workers.load_and_pace import KIND_BY_STAGE, usual_answer_s
+from croftchute.forwarding.workers.load_and_pace import WORK_KIND_BY_STAGE, median_answer_s
 from croftchute.forwarding.workers.load_probe import PROBE_TIMEOUT_S, probe_loads
 from croftchute.systems import patience, predicted_end
 from croftchute.systems.predicted_end import PlacementWay, UsualTimes
@@ -26,11 +26,11 @@
 from croftchute.tables.paces import PaceEstimate, PredictedEnd, WorkKind
 from croftchute.tables.routing import RequestFacts, Route, Stage
 
-USUAL_KEPT_S = 0.5
+USUAL_TIMES_TTL_S = 0.5
 """Seconds for which the usual times of a service are used: they are means of seconds."""
 
 
-def chooses_by_end(state: ForwardingState, service: str) -> bool:
+def selects_by_completion_time(state: ForwardingState, service: str) -> bool:
     """Whether workers of a service are chosen by predicted end."""
     way = state.ways.placement
     if way is PlacementWay.AUTO:
@@ -38,7 +38,7 @@
     return way is PlacementWay.BY_END
 
 
-class PlacedRequest(Protocol):
+class SelectionRequest(Protocol):
     """The request for which a worker is chosen."""
 
     state: ForwardingState
@@ -48,10 +48,10 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class EndChoice:
+class CompletionTimeSelector:
     """One choice of a worker for a request; ``avoid`` are ids of workers that are passed over."""
 
-    request: PlacedRequest
+    request: SelectionRequest
     stage: Stage | None
     around: Surroundings
     avoid: Collection[str]
@@ -86,7 +86,7 @@
         }
         return self._chosen(left, ends, predicted_end.draw_by_end(ends, doubtful, rng))
 
-    async def choose_prefill(
+    async def select_prefill(
         self, candidates: Sequence[WorkerBelief], *, permit_request: PermitRequest | None
     ) -> tuple[WorkerBelief, ChoiceInput] | None:
         """The soonest of some prefill workers drawn by speed and probed.
@@ -130,7 +130,7 @@
         return best, replace(chosen, end=ends[worker_id])
 
     def _pace(self, belief: WorkerBelief) -> PaceEstimate:
-        kind = KIND_BY_STAGE[self.stage]
+        kind = WORK_KIND_BY_STAGE[self.stage]
         return self.state.paces.estimate(belief.worker.id, kind, self.state.clock())
 
     def _ends(self, beliefs: list[WorkerBelief]) -> dict[str, PredictedEnd]:
@@ -183,7 +183,7 @@
     """What is usual at the workers of a service, by the news of all boxes heard."""
     now = state.clock()
     known = state.usual_times_by_service.get(service)
-    if known is None or now - known.at >= USUAL_KEPT_S:
+    if known is None or now - known.at >= USUAL_TIMES_TTL_S:
         known = _usual_times(state, service, now)
         state.usual_times_by_service[service] = known
     return known
@@ -198,7 +198,7 @@
     prompt_s = reading.reading_s(math.ceil(mean_tokens)) if mean_tokens > 0.0 else 0.0
     full_prompts = patience.PREFILL_FULL_TOKENS / mean_tokens if mean_tokens > 0.0 else 0.0
     return UsualTimes(
-        answer_s=usual_answer_s([belief for belief in beliefs if belief.worker.stage is None]),
+        answer_s=median_answer_s([belief for belief in beliefs if belief.worker.stage is None]),
         stream_s=counts.ended_s / counts.ended if counts.ended else 0.0,
         pause_s=pauses[(len(pauses) - 1) // 2] if pauses else 0.0,
         prompt_s=prompt_s,
--- a/src/croftchute/forwarding/workers/crash_detection.py
+++ b/src/croftchute/forwarding/workers/crash_detection.py
@@ -16,14 +16,14 @@
 """Seconds until a connection must be up or refused: time for one lost packet to be sent again.
 Meanwhile the end is taken for likely, which only matters to requests that lost two workers."""
 
-MAX_DIGESTS_LOGGED = 16
+MAX_LOGGED_DIGESTS = 16
 """Digests in one line: some more than a worker of eight slots runs for one box."""
 
 LIVES, ENDED, UNKNOWN, RESTARTED = "lives", "ended", "unknown", "restarted"
 """What a look at a worker finds."""
 
 
-def note_broken(state: ForwardingState, worker: Worker, digest: str) -> None:
+def check_after_broken_answer(state: ForwardingState, worker: Worker, digest: str) -> None:
     """A worker broke the answer to a request off: look whether it has ended.
 
     Workers that were leaving end as planned, whatever they run.
@@ -76,7 +76,7 @@
         outcome=outcome,
         worker=worker.id,
         took_ms=round((state.clock() - broke_at) * 1000, 1),
-        digests=digests[:MAX_DIGESTS_LOGGED],
+        digests=digests[:MAX_LOGGED_DIGESTS],
         requests=len(digests),
     )
     if digests:
--- a/src/croftchute/forwarding/workers/decode_reservation.py
+++ b/src/croftchute/forwarding/workers/decode_reservation.py
@@ -9,13 +9,13 @@
 from croftchute.forwarding.decision_log import Decision
 from croftchute.forwarding.dialect import Hold
 from croftchute.forwarding.http.failures import ExchangeError
-from croftchute.forwarding.workers.queue_reporting import order_facts
+from croftchute.forwarding.workers.queue_reporting import queue_log_fields
 from croftchute.forwarding.workers.request_run import RequestRun
 from croftchute.forwarding.workers.room_wait_policy import (
-    PollingTurn,
-    RankedTurn,
-    RequestUse,
-    RoomTurn,
+    PollingWait,
+    RankedWait,
+    RequestUsage,
+    RoomWaitPolicy,
 )
 from croftchute.forwarding.workers.worker_control import drop_hold, take_hold
 from croftchute.systems import patience
@@ -25,11 +25,11 @@
 from croftchute.systems.worker_choice import ChoiceInput
 from croftchute.tables.routing import EngineTraits, Stage, Worker
 
-HOLD_AND_REQUEST = 2
+CALLS_PER_HELD_REQUEST = 2
 """Calls of a worker that a stream takes there: an ask for room, and the request itself."""
 
 
-class DecodeRoom:
+class DecodeReservation:
     """Finds a decode worker with room for one request, and keeps its hold until it is used.
 
     ``kept_at`` is the worker that may still keep the request's cache: it is asked first, once.
@@ -42,9 +42,9 @@
         self.kept_at: str | None = None
         self.code: Code | None = None
         self.detail = ""
-        self._resumed_in_place = False
-        self._permit_at: Worker | None = None
-        self._use = RequestUse(run=run)
+        self._has_tried_cached_worker = False
+        self._permit_worker: Worker | None = None
+        self._use = RequestUsage(run=run)
 
     async def reserve(self) -> tuple[WorkerBelief, ChoiceInput] | None:
         """A decode worker that keeps room for the request, waiting for a while if all are full."""
@@ -73,11 +73,11 @@
                 if run.held_back:
                     self.code = Code.NO_CAPACITY
                     self.detail = "more urgent requests wait for room"
-                may_come = run.full or run.held_back or (is_begun and self._rests_end_soon())
+                may_come = run.full or run.held_back or (is_begun and self._does_rest_end_soon())
                 if is_last_ask or not may_come:
                     return None
                 if not self._may_wait(asked_at, is_begun=is_begun):
-                    if not turn.takes_last_chance():
+                    if not turn.may_ask_finally():
                         return None
                     is_last_ask = True
                     continue
@@ -86,22 +86,22 @@
                 turn.waited(pause_s, run.now)
                 run.full.clear()
 
-    def _turn(self, *, is_begun: bool) -> RoomTurn:
+    def _turn(self, *, is_begun: bool) -> RoomWaitPolicy:
         """How the request waits: a stream that has begun goes before all others."""
         run = self.run
         if not is_begun and run.is_ordered:
-            return RankedTurn(run=run, use=self._use)
+            return RankedWait(run=run, use=self._use)
         pause_s = patience.room_poll(
             run.route, run.state.ways.returns, before_s=run.before_s, is_begun=is_begun
         )
-        return PollingTurn(history=run.state.room(run.service), poll_s=pause_s)
+        return PollingWait(history=run.state.room(run.service), poll_s=pause_s)
 
     def _has_worker(self) -> bool:
         """Whether some decode worker may be asked now."""
         run = self.run
         return bool(run.state.workers.usable(run.service, run.now, stage=Stage.DECODE))
 
-    def _rests_end_soon(self) -> bool:
+    def _does_rest_end_soon(self) -> bool:
         """Whether a decode worker takes work again while the caller of a begun stream waits."""
         return 0.0 < self.run.rest_left_s <= patience.RESUME_WAIT_S
 
@@ -128,7 +128,7 @@
             mean_wait_s=mean_wait_s,
             reading_s=round(wait.reading_s, 3),
             tokens=run.facts.prompt_tokens,
-            **order_facts(run),
+            **queue_log_fields(run),
         )
         return False
 
@@ -136,7 +136,10 @@
         """Ask the decode workers, the cheapest first; None if none has room."""
         run = self.run
         engine = run.engine
-        if engine is not None and (in_place := await self._room_in_place(engine)) is not None:
+        if (
+            engine is not None
+            and (in_place := await self._reserve_at_cached_worker(engine)) is not None
+        ):
             return in_place
         while True:
             found = run.choose(Stage.DECODE)
@@ -144,41 +147,43 @@
                 return None
             if engine is None or engine.hold_ttl_s <= 0.0:
                 if await run.acquire_permit(found[0]):
-                    self._permit_at = found[0].worker
+                    self._permit_worker = found[0].worker
                     return found
                 continue
             if found[0].full_until > run.now:
                 run.full.add(found[0].worker.id)
                 self._note_full(found[0])
                 continue
-            if await self._hold_if_permitted(*found, engine):
+            if await self._reserve_if_permitted(*found, engine):
                 return found
 
-    async def _room_in_place(self, engine: EngineTraits) -> tuple[WorkerBelief, ChoiceInput] | None:
+    async def _reserve_at_cached_worker(
+        self, engine: EngineTraits
+    ) -> tuple[WorkerBelief, ChoiceInput] | None:
         """Room at the worker that may still keep the request's cache."""
         same = self._same_worker()
-        if same is None or not await self._hold_if_permitted(*same, engine):
+        if same is None or not await self._reserve_if_permitted(*same, engine):
             return None
         return same
 
-    async def _hold_if_permitted(
+    async def _reserve_if_permitted(
         self, belief: WorkerBelief, chosen: ChoiceInput, engine: EngineTraits
     ) -> bool:
         """Ask a worker for room if it takes that call, and the request behind it."""
-        if not await self.run.acquire_permit(belief, calls=HOLD_AND_REQUEST):
+        if not await self.run.acquire_permit(belief, calls=CALLS_PER_HELD_REQUEST):
             return False
-        self._permit_at = belief.worker
-        is_held = await self._hold_at(belief, chosen, engine)
+        self._permit_worker = belief.worker
+        is_held = await self._reserve_at(belief, chosen, engine)
         if not is_held:
-            self._give_permit_back()
+            self._release_permit()
         return is_held
 
     def _same_worker(self) -> tuple[WorkerBelief, ChoiceInput] | None:
         """The worker that the stream ran at: if it lives, it still keeps the prompt's cache."""
         worker_id, self.kept_at = self.kept_at, None
-        if worker_id is None or self._resumed_in_place:
+        if worker_id is None or self._has_tried_cached_worker:
             return None
-        self._resumed_in_place = True
+        self._has_tried_cached_worker = True
         run = self.run
         usable = run.state.workers.usable(run.service, run.now, stage=Stage.DECODE)
         for belief in usable:
@@ -186,7 +191,7 @@
                 return belief, run.describe(belief, candidates=1)
         return None
 
-    async def _hold_at(
+    async def _reserve_at(
         self, belief: WorkerBelief, chosen: ChoiceInput, engine: EngineTraits
     ) -> bool:
         run = self.run
@@ -220,27 +225,27 @@
             cost=chosen.cost,
             own_tokens=belief.tokens_in_flight,
             failures=chosen.failures,
-            **order_facts(run),
+            **queue_log_fields(run),
         )
         return self.hold is not None
 
-    def note_used(self) -> None:
+    def mark_used(self) -> None:
         """The request was sent: neither the hold nor the permit for it is left."""
         self.hold = None
-        self._permit_at = None
+        self._permit_worker = None
 
-    def drop_unused(self) -> None:
+    def release_unused(self) -> None:
         """Give the hold and the permit back if nothing was sent with them."""
-        self._give_permit_back()
+        self._release_permit()
         if self.hold is not None:
             state = self.run.state
             state.spawn(drop_hold(state, self.hold, self.run.facts.id))
             self.hold = None
 
-    def _give_permit_back(self) -> None:
-        if self._permit_at is not None:
-            self.run.state.permits.release(self._permit_at)
-            self._permit_at = None
+    def _release_permit(self) -> None:
+        if self._permit_worker is not None:
+            self.run.state.permits.release(self._permit_worker)
+            self._permit_worker = None
 
     def _note_full(self, belief: WorkerBelief) -> None:
         self.code = Code.NO_CAPACITY
--- a/src/croftchute/forwarding/workers/load_and_pace.py
+++ b/src/croftchute/forwarding/workers/load_and_pace.py
@@ -9,7 +9,7 @@
 from croftchute.tables.peers import WorkerPaceNotice
 from croftchute.tables.routing import Stage, Worker
 
-KIND_BY_STAGE = {
+WORK_KIND_BY_STAGE = {
     Stage.PREFILL: WorkKind.READING,
     Stage.DECODE: WorkKind.TOKEN,
     None: WorkKind.ANSWER,
@@ -23,17 +23,17 @@
     if load is None:
         return
     state.workers.note_load(worker.id, load.running, load.waiting, state.clock())
-    note_told_pace(state, worker, head)
+    record_reported_pace(state, worker, head)
 
 
-def note_told_pace(state: ForwardingState, worker: Worker, head: ResponseHead) -> None:
+def record_reported_pace(state: ForwardingState, worker: Worker, head: ResponseHead) -> None:
     """Take in the pace alone, from an answer to a call of the router's own."""
     load = state.workers_speak.load(head)
     if load is not None and load.pace is not None:
         state.paces.note_told(worker.id, load.pace, state.clock())
 
 
-def note_answer_pace(state: ForwardingState, worker: Worker, seconds: float) -> None:
+def record_answer_pace(state: ForwardingState, worker: Worker, seconds: float) -> None:
     """A plain worker answered after some seconds: compared with what others usually take."""
     if worker.stage is not None:
         return
@@ -41,26 +41,28 @@
     if belief is not None:
         waiting = belief.load_waiting if state.clock() - belief.load_at <= LOAD_TTL_S else 0
         state.work_times.note(worker.service, seconds, waiting=waiting)
-    usual_s = usual_answer_s(state.workers.of_service(worker.service))
+    usual_s = median_answer_s(state.workers.of_service(worker.service))
     if usual_s > 0.0:
         state.paces.note_seen(worker.id, WorkKind.ANSWER, seconds / usual_s, state.clock())
 
 
-def note_reading_pace(state: ForwardingState, worker: Worker, tokens: int, seconds: float) -> None:
+def record_prefill_pace(
+    state: ForwardingState, worker: Worker, tokens: int, seconds: float
+) -> None:
     """A prefill worker read a prompt in some seconds, waits left out."""
     usual_s = state.prefill_pace(worker.service).reading_s(tokens)
     if usual_s > 0.0:
         state.paces.note_seen(worker.id, WorkKind.READING, seconds / usual_s, state.clock())
 
 
-def note_pace_heard(state: ForwardingState, notice: WorkerPaceNotice) -> None:
+def record_peer_pace(state: ForwardingState, notice: WorkerPaceNotice) -> None:
     """A peer told the pace of a worker; of one that is not known here nothing is kept."""
     belief = state.workers.beliefs_by_id.get(notice.worker)
     if belief is not None:
-        state.paces.hear(notice, KIND_BY_STAGE[belief.worker.stage], state.clock())
+        state.paces.hear(notice, WORK_KIND_BY_STAGE[belief.worker.stage], state.clock())
 
 
-def usual_answer_s(beliefs: list[WorkerBelief]) -> float:
+def median_answer_s(beliefs: list[WorkerBelief]) -> float:
     """The median of the usual times of some workers; 0 if none has answered yet."""
     known = sorted(belief.latency_s for belief in beliefs if belief.latency_s > 0.0)
     return known[(len(known) - 1) // 2] if known else 0.0
--- a/src/croftchute/forwarding/workers/load_probe.py
+++ b/src/croftchute/forwarding/workers/load_probe.py
@@ -17,7 +17,7 @@
 PROBE_TIMEOUT_S = 0.03
 """Seconds that a request waits for its probes: some round trips, and little of any target."""
 
-LATE_PROBE_S = 0.2
+LATE_PROBE_TIMEOUT_S = 0.2
 """Seconds after which a probe without an answer is given up. One that comes late still tells the
 load for others, and leaves its connection open; every cut one costs a new connection."""
 
@@ -67,8 +67,8 @@
         return
     data = state.workers_speak.ask_health(worker, path)
     try:
-        exchange = control_exchange(state, worker, data, LATE_PROBE_S)
-        head, _ = await within(exchange, LATE_PROBE_S, "no answer to a probe")
+        exchange = control_exchange(state, worker, data, LATE_PROBE_TIMEOUT_S)
+        head, _ = await within(exchange, LATE_PROBE_TIMEOUT_S, "no answer to a probe")
     except ExchangeError:
         return
     load = state.workers_speak.load(head)
--- a/src/croftchute/forwarding/workers/plain_admission.py
+++ b/src/croftchute/forwarding/workers/plain_admission.py
@@ -15,7 +15,7 @@
 from croftchute.tables.paces import PaceSource, PredictedEnd
 from croftchute.tables.routing import Service
 
-MOST_PROBES = 3
+MAX_PROBES = 3
 """Workers asked for one call: a plain service has a few, and each probe is a call of its own."""
 
 
@@ -35,7 +35,7 @@
     workers = [b for b in run.candidates(None) if b.worker.id not in run.avoid]
     if len(workers) < 2 or not plain_queue.is_busy(workers, run.now):
         return None
-    asked = run.state.rng.sample(workers, min(MOST_PROBES, len(workers)))
+    asked = run.state.rng.sample(workers, min(MAX_PROBES, len(workers)))
     await probe_loads(
         run.state, service, asked, PROBE_TIMEOUT_S, permit_request=run.permit_request()
     )
--- a/src/croftchute/forwarding/workers/plain_run.py
+++ b/src/croftchute/forwarding/workers/plain_run.py
@@ -12,7 +12,7 @@
     ExchangeError,
 )
 from croftchute.forwarding.http.http_client import ResponseHead
-from croftchute.forwarding.workers.answer_completion import answered_once_read
+from croftchute.forwarding.workers.answer_completion import finish_answer
 from croftchute.forwarding.workers.plain_admission import admit, refuse_late
 from croftchute.forwarding.workers.request_run import RequestRun
 from croftchute.forwarding.workers.worker_call import WorkerCall
@@ -55,7 +55,7 @@
             break
         if not await run.acquire_permit(found[0]):
             continue
-        if not run.may_send_again():
+        if not run.spend_retry_budget():
             run.state.permits.release(found[0].worker)
             break
         answer = await _attempt(run, *found, progress)
@@ -123,12 +123,12 @@
         progress.may_have_run = True
         progress.last_answer = answer
         is_final = not run.route.may_repeat
-        return answer if is_final and not _promises_not_run(answer) else None
+        return answer if is_final and not _implies_not_run(answer) else None
     call.succeeded()
     return answer
 
 
-def _promises_not_run(answer: WholeAnswer) -> bool:
+def _implies_not_run(answer: WholeAnswer) -> bool:
     """A status that tells callers that nothing ran, on an answer that does not say so."""
     return answer.status in (408, 421, 429, 503)
 
@@ -136,12 +136,12 @@
 async def _hand_over(run: RequestRun, answer: WholeAnswer) -> None:
     run.first_byte_at = run.now
     run.exchange.send(answer.status, answer.headers, answer.body)
-    await answered_once_read(run, answer.status, answer.worker)
+    await finish_answer(run, answer.status, answer.worker)
 
 
 async def _give_up(run: RequestRun, progress: Progress) -> None:
     last = progress.last_answer
-    if last is not None and not _promises_not_run(last):
+    if last is not None and not _implies_not_run(last):
         await _hand_over(run, last)
         return
     if not progress.may_have_run:
--- a/src/croftchute/forwarding/workers/prompt_cache_lookup.py
+++ b/src/croftchute/forwarding/workers/prompt_cache_lookup.py
@@ -12,24 +12,24 @@
 from croftchute.forwarding.decision_log import Decision
 from croftchute.forwarding.http.failures import ExchangeError
 from croftchute.forwarding.workers.request_run import RequestRun
-from croftchute.forwarding.workers.worker_control import ask_kept_parts
+from croftchute.forwarding.workers.worker_control import fetch_cached_parts
 from croftchute.systems.worker_belief import WorkerBelief
 from croftchute.systems.worker_choice import by_affinity
 from croftchute.tables.routing import Stage
 
-MAX_WORKERS_ASKED = 16
+MAX_WORKERS_QUERIED = 16
 """Most decode workers that are asked about one prompt, those that it prefers: a list holds its
 worker up for a moment. A choice looks at 12 of those that are not full."""
 
 
-async def find_keeper(run: RequestRun) -> str | None:
+async def find_cached_worker(run: RequestRun) -> str | None:
     """The id of the decode worker that keeps the prompt's own part; None if none is found."""
     part = run.facts.own_part
     usable = run.state.workers.usable(run.service, run.now, stage=Stage.DECODE)
     if not part or run.engine is None:
         return None
-    usable = by_affinity(usable, part)[:MAX_WORKERS_ASKED]
-    answers = await asyncio.gather(*(_kept_tokens(run, belief, part) for belief in usable))
+    usable = by_affinity(usable, part)[:MAX_WORKERS_QUERIED]
+    answers = await asyncio.gather(*(_fetch_cached_tokens(run, belief, part) for belief in usable))
     tokens, keeper = max(zip(answers, (b.worker.id for b in usable), strict=True), default=(0, ""))
     run.log(
         Decision.KEEPER_ASKED,
@@ -41,10 +41,10 @@
     return keeper if tokens > 0 else None
 
 
-async def _kept_tokens(run: RequestRun, belief: WorkerBelief, part: str) -> int:
+async def _fetch_cached_tokens(run: RequestRun, belief: WorkerBelief, part: str) -> int:
     """How much of a prompt part a worker keeps; 0 if it does not tell in time."""
     try:
-        kept = await ask_kept_parts(run.state, belief.worker)
+        kept = await fetch_cached_parts(run.state, belief.worker)
     except (ExchangeError, MessageError) as error:
         run.log(
             Decision.KEEPER_ASKED,
--- a/src/croftchute/forwarding/workers/prompt_prefill.py
+++ b/src/croftchute/forwarding/workers/prompt_prefill.py
@@ -10,11 +10,14 @@
     ConnectionBrokenError,
     ExchangeError,
 )
-from croftchute.forwarding.workers.completion_time_selector import chooses_by_end, reading_times
-from croftchute.forwarding.workers.load_and_pace import note_reading_pace
+from croftchute.forwarding.workers.completion_time_selector import (
+    reading_times,
+    selects_by_completion_time,
+)
+from croftchute.forwarding.workers.load_and_pace import record_prefill_pace
 from croftchute.forwarding.workers.request_run import RequestRun
 from croftchute.forwarding.workers.worker_call import WorkerCall
-from croftchute.forwarding.workers.worker_control import free_handle
+from croftchute.forwarding.workers.worker_control import release_handle
 from croftchute.systems import patience
 from croftchute.systems.prefill_queue import ReadingTimes
 from croftchute.systems.worker_belief import WorkerBelief
@@ -24,22 +27,22 @@
 MAX_TRIES = 2
 """Prefill workers asked for one prompt: a second only if the first surely read nothing."""
 
-HANDLE_SHARE = 0.8
+HANDLE_USABLE_FRACTION = 0.8
 """Share of the time that a handle is kept within which another decode worker may still take it."""
 
 
-class PromptReader:
+class PromptPrefill:
     """Has one request's prompt read once, and keeps the handle while no decode worker took it."""
 
     def __init__(self, *, run: RequestRun) -> None:
         self.run = run
         self.unused: PrefillHandle | None = None
         self.keeper: str | None = None
-        self._lapses_at = 0.0
+        self._handle_expires_at = 0.0
         self._has_begun = False
-        self._refusals = 0
+        self._rejections = 0
 
-    async def read_for(self, decode: WorkerBelief) -> PrefillHandle | None:
+    async def prefill_for(self, decode: WorkerBelief) -> PrefillHandle | None:
         """A handle for a decode worker; None if that worker must read the prompt itself.
 
         The decode worker itself reads where it keeps the prompt (``keeper``), or where that is
@@ -50,22 +53,22 @@
         if decode.worker.id == self.keeper:
             return None
         if self._has_begun or decode.worker.stage is None:
-            return self.unused if run.now < self._lapses_at else None
+            return self.unused if run.now < self._handle_expires_at else None
         self._has_begun = True
         for number in range(MAX_TRIES):
-            if run.ends_readers:
+            if run.crashes_prefill_workers:
                 run.log(Decision.READ_AT_DECODE, outcome="reading it ends workers")
                 return None
             found = await self._choose(decode, may_probe=number == 0)
-            if found is None or (number > 0 and not self._may_read_again()):
+            if found is None or (number > 0 and not self._may_retry()):
                 return None
-            if not self._is_better_ahead(*found, decode):
+            if not self._is_prefill_worker_faster(*found, decode):
                 return None
             if not await run.acquire_permit(found[0]):
                 continue
-            refusals = self._refusals
+            refusals = self._rejections
             handle = await self._read(*found)
-            if handle is not None or self._refusals == refusals:
+            if handle is not None or self._rejections == refusals:
                 return handle
         return None
 
@@ -75,11 +78,11 @@
         """A prefill worker near a decode worker; one round of probes at most for a request."""
         run = self.run
         near = decode.worker.zone
-        if not chooses_by_end(run.state, run.service):
+        if not selects_by_completion_time(run.state, run.service):
             return run.choose(Stage.PREFILL, near=near)
         permit_request = run.permit_request() if may_probe else None
         choice = run.end_choice(Stage.PREFILL, near=near)
-        return await choice.choose_prefill(
+        return await choice.select_prefill(
             run.candidates(Stage.PREFILL), permit_request=permit_request
         )
 
@@ -89,22 +92,22 @@
 
     def doubt(self) -> None:
         """A decode worker may have taken the handle: it serves no other one."""
-        self._lapses_at = 0.0
+        self._handle_expires_at = 0.0
 
-    def free_unused(self) -> None:
+    def release_unused_handle(self) -> None:
         """Free the handle if no decode worker took it."""
         if self.unused is not None:
             state = self.run.state
-            state.spawn(free_handle(state, self.unused, self.run.facts.id))
+            state.spawn(release_handle(state, self.unused, self.run.facts.id))
             self.unused = None
 
-    def _may_read_again(self) -> bool:
+    def _may_retry(self) -> bool:
         """Whether another prefill worker may be asked, after one that surely read nothing."""
         run = self.run
         if run.now - run.started_at > patience.prefill_retry_limit(run.route):
             return False
         leaves_attempt = len(run.workers_sent_to) + 1 < run.route.max_attempts
-        return run.arrivals == 0 or (leaves_attempt and run.may_send_again())
+        return run.arrivals == 0 or (leaves_attempt and run.spend_retry_budget())
 
     def _reading_times(
         self, prefill: WorkerBelief, chosen: ChoiceInput, decode: WorkerBelief
@@ -119,7 +122,7 @@
             wait_s=run.state.prefill_wait_s(prefill),
         )
 
-    def _is_better_ahead(
+    def _is_prefill_worker_faster(
         self, prefill: WorkerBelief, chosen: ChoiceInput, decode: WorkerBelief
     ) -> bool:
         """Whether the prefill worker's queue is short enough to read the prompt there."""
@@ -153,9 +156,9 @@
         belief.queue.sent(run.facts.id, run.facts.prompt_tokens, run.now, expected_s=expected_s)
         try:
             await call.open()
-            return await self._take_handle(call)
+            return await self._receive_handle(call)
         except ConnectFailedError as error:
-            self._refusals += 1
+            self._rejections += 1
             run.state.permits.release(belief.worker)
             call.failed(error)
         except ExchangeError as error:
@@ -169,14 +172,14 @@
             call.close()
         return None
 
-    async def _take_handle(self, call: WorkerCall) -> PrefillHandle | None:
+    async def _receive_handle(self, call: WorkerCall) -> PrefillHandle | None:
         run = self.run
         wait_s = patience.prefill_patience(run.route, time_left_s=run.time_left_s)
         head = await call.head(wait_s)
         body = await call.body(wait_s)
         verdict = run.state.workers_speak.verdict(head)
         if verdict is not Verdict.ANSWERED:
-            self._note_refusal(call, verdict, head.status)
+            self._record_rejection(call, verdict, head.status)
             return None
         handle = run.state.workers_speak.handle(body, call.worker)
         call.succeeded()
@@ -188,17 +191,17 @@
         run.state.demand(run.service).note_prefill(run.facts.prompt_tokens, usual_s)
         pace = run.state.prefill_pace(run.service)
         call.belief.queue.answered(run.facts.id, pace=pace, now=run.now)
-        note_reading_pace(run.state, call.worker, run.facts.prompt_tokens, working_s)
+        record_prefill_pace(run.state, call.worker, run.facts.prompt_tokens, working_s)
         self.unused = handle
         if run.engine is not None:
-            self._lapses_at = run.now + HANDLE_SHARE * run.engine.handle_ttl_s
+            self._handle_expires_at = run.now + HANDLE_USABLE_FRACTION * run.engine.handle_ttl_s
         return handle
 
-    def _note_refusal(self, call: WorkerCall, verdict: Verdict, status: int) -> None:
+    def _record_rejection(self, call: WorkerCall, verdict: Verdict, status: int) -> None:
         self.run.arrivals += 1
         if verdict is Verdict.FAILED:
             call.faulty(status)
             return
         self.run.workers_sent_to.add(call.worker.id)
-        self._refusals += 1
+        self._rejections += 1
         call.rejected(verdict)
--- a/src/croftchute/forwarding/workers/queue_reporting.py
+++ b/src/croftchute/forwarding/workers/queue_reporting.py
@@ -16,7 +16,7 @@
 """Cause of a refusal: no engine that was asked at last had room."""
 
 
-def order_facts(run: RequestRun) -> dict[str, object]:
+def queue_log_fields(run: RequestRun) -> dict[str, object]:
     """The request's place in the order for room, for the log; empty where there is none.
 
     ``entry_age_s`` is the age of the newest news that the entry rank waits, in seconds. ``share``
@@ -37,7 +37,7 @@
     return facts
 
 
-def count_refusal(run: RequestRun, code: Code, ran: Ran) -> None:
+def count_room_refusal(run: RequestRun, code: Code, ran: Ran) -> None:
     """Count a refusal of an ordered stream, if it was room that lacked."""
     if code is not Code.NO_CAPACITY or ran is not Ran.NOT_RUN or not run.is_ordered:
         return
@@ -54,6 +54,6 @@
 
 def count_over_share(run: RequestRun) -> None:
     """Count a request whose organisation is over its share; each request once."""
-    if run.share.is_over and not run.was_over_share:
-        run.was_over_share = True
+    if run.share.is_over and not run.is_counted_over_share:
+        run.is_counted_over_share = True
         run.state.metrics.over_share.inc({"service": run.service})
--- a/src/croftchute/forwarding/workers/request_run.py
+++ b/src/croftchute/forwarding/workers/request_run.py
@@ -8,8 +8,11 @@
 from croftchute.forwarding.http.exchange import Exchange
 from croftchute.forwarding.permits import PermitRequest
 from croftchute.forwarding.state import ForwardingState
-from croftchute.forwarding.workers.completion_time_selector import EndChoice, chooses_by_end
-from croftchute.forwarding.workers.queue_reporting import count_refusal, order_facts
+from croftchute.forwarding.workers.completion_time_selector import (
+    CompletionTimeSelector,
+    selects_by_completion_time,
+)
+from croftchute.forwarding.workers.queue_reporting import count_room_refusal, queue_log_fields
 from croftchute.systems import patience
 from croftchute.systems.fair_shares import ShareVerdict
 from croftchute.systems.room_order import OrderWay, room_rank
@@ -19,7 +22,7 @@
 from croftchute.tables.organisations import Organisation
 from croftchute.tables.routing import EngineTraits, RequestFacts, Route, RouteKind, Stage
 
-MAX_CONNECT_TRIES = 4
+MAX_CONNECT_FAILURES = 4
 """Workers to which no connection came up before a request is given up."""
 
 
@@ -54,7 +57,7 @@
         self.avoid: set[str] = set()
         self.full: set[str] = set()
         self.held_back = False
-        self.was_over_share = False
+        self.is_counted_over_share = False
         self.connect_failures = 0
         self.first_byte_at: float | None = None
         self.last_worker = ""
@@ -74,7 +77,7 @@
         return self._digest
 
     @property
-    def reading_digest(self) -> str:
+    def prefill_digest(self) -> str:
         """The same of its prompt's reading ahead, which other workers do: one may be sound."""
         return f"{self.digest}-read"
 
@@ -84,10 +87,10 @@
         return self._refused_s > 0.0
 
     @property
-    def ends_readers(self) -> bool:
+    def crashes_prefill_workers(self) -> bool:
         """Whether its prompt is not read ahead, as workers ended that did so."""
         crashes = self.state.crashes
-        return crashes.may_refuse and crashes.refused_s(self.reading_digest, self.now) > 0.0
+        return crashes.may_refuse and crashes.refused_s(self.prefill_digest, self.now) > 0.0
 
     @property
     def _refused_s(self) -> float:
@@ -137,7 +140,7 @@
         return room_rank(
             self.rank,
             ranks=ranks.count,
-            is_late=self.in_time_left_s <= 0.0,
+            is_late=self.target_left_s <= 0.0,
             is_over_share=self.share.is_over,
         )
 
@@ -149,7 +152,7 @@
         return self.state.share_verdict(self.service, self.facts.organisation)
 
     @property
-    def in_time_left_s(self) -> float:
+    def target_left_s(self) -> float:
         """Seconds until an answer would be late that begins with the reading of the prompt."""
         reading_s = self.state.prefill_pace(self.service).reading_s(self.facts.prompt_tokens)
         elapsed_s = self.before_s + self.now - self.started_at
@@ -171,7 +174,7 @@
     ) -> tuple[WorkerBelief, ChoiceInput] | None:
         """A worker for the next sending, within the route's attempts; best in the zone ``near``."""
         candidates = self.candidates(stage)
-        if chooses_by_end(self.state, self.service):
+        if selects_by_completion_time(self.state, self.service):
             return self.end_choice(stage, near=near).choose(candidates)
         return choose(
             candidates,
@@ -184,19 +187,21 @@
 
     def candidates(self, stage: Stage | None) -> list[WorkerBelief]:
         """Workers that the next sending may go to, those to be avoided among them."""
-        if self.connect_failures >= MAX_CONNECT_TRIES:
+        if self.connect_failures >= MAX_CONNECT_FAILURES:
             return []
         candidates = self.state.workers.usable(self.service, self.now, stage=stage)
         if stage is Stage.DECODE:
-            candidates = self._within_lane(candidates)
+            candidates = self._within_size_lane(candidates)
         if len(self.workers_sent_to) >= self.route.max_attempts:
             candidates = [b for b in candidates if b.worker.id in self.workers_sent_to]
         return candidates
 
-    def end_choice(self, stage: Stage | None, *, near: str = "") -> EndChoice:
+    def end_choice(self, stage: Stage | None, *, near: str = "") -> CompletionTimeSelector:
         """A choice by predicted end for the next sending."""
         around = self.surroundings(stage, near=near)
-        return EndChoice(request=self, stage=stage, around=around, avoid=self.avoid | self.full)
+        return CompletionTimeSelector(
+            request=self, stage=stage, around=around, avoid=self.avoid | self.full
+        )
 
     @property
     def is_large(self) -> bool:
@@ -206,7 +211,7 @@
             return False
         return is_large(self.facts.prompt_tokens + self.facts.likely_output, engine.kv_tokens)
 
-    def _within_lane(self, candidates: list[WorkerBelief]) -> list[WorkerBelief]:
+    def _within_size_lane(self, candidates: list[WorkerBelief]) -> list[WorkerBelief]:
         """The decode workers that requests of this size may have."""
         engine = self.engine
         if engine is None or self.state.ways.room is RoomWay.BLIND:
@@ -269,7 +274,7 @@
             calls=calls, patience_s=patience_s, rank=rank, request_id=self.facts.id
         )
 
-    def may_send_again(self) -> bool:
+    def spend_retry_budget(self) -> bool:
         """Take a repeat out of the budget; the first sending needs none.
 
         Nothing is sent on that ends workers: another box may have seen the third one end meanwhile.
@@ -349,7 +354,7 @@
         self.exchange.send(answer.status, answer.headers, answer.body)
         labels = {"route": self.route.name, "outcome": code.value}
         self.state.metrics.requests.inc(labels)
-        count_refusal(self, code, ran)
+        count_room_refusal(self, code, ran)
         self.log(
             Decision.REQUEST_REFUSED,
             outcome=code.value,
@@ -365,7 +370,7 @@
             config_version=self.state.table.version if self.state.table else 0,
             config_age_s=round(self.now - self.state.table_at, 1),
             workers_age_s=round(self.now - self.state.workers.heard_at, 1),
-            **order_facts(self),
+            **queue_log_fields(self),
         )
 
     def _crash_detail(self) -> str:
--- a/src/croftchute/forwarding/workers/room_wait_policy.py
+++ b/src/croftchute/forwarding/workers/room_wait_policy.py
@@ -11,14 +11,14 @@
 from croftchute.systems.room_forecast import RoomHistory
 
 
-class RoomTurn(Protocol):
+class RoomWaitPolicy(Protocol):
     """One request's wait; always end it with :meth:`close`."""
 
     def may_ask(self, now: float) -> bool:
         """Whether the request asks for room now, or leaves what there is to others."""
         ...
 
-    def takes_last_chance(self) -> bool:
+    def may_ask_finally(self) -> bool:
         """Whether a request that is about to be refused asks once more."""
         ...
 
@@ -39,7 +39,7 @@
         ...
 
 
-class PollingTurn:
+class PollingWait:
     """Asks again at one interval, whoever else waits."""
 
     def __init__(self, *, history: RoomHistory, poll_s: float) -> None:
@@ -51,7 +51,7 @@
         """It always does."""
         return True
 
-    def takes_last_chance(self) -> bool:
+    def may_ask_finally(self) -> bool:
         """It has asked each time."""
         return False
 
@@ -73,7 +73,7 @@
         """Nothing is held."""
 
 
-class RequestUse:
+class RequestUsage:
     """What one request asks for and gets, counted for its organisation once.
 
     A request that no worker took in the end asks for room again.
@@ -101,10 +101,10 @@
             use.note_granted(self._name, self._tokens, now, waited_s=now - self._asked_at)
 
 
-class RankedTurn:
+class RankedWait:
     """Asks the more often the more urgent it is, and leaves room to more urgent requests."""
 
-    def __init__(self, *, run: RequestRun, use: RequestUse) -> None:
+    def __init__(self, *, run: RequestRun, use: RequestUsage) -> None:
         self.run = run
         self.use = use
         self.room = run.state.ranked_room(run.service)
@@ -121,12 +121,12 @@
         if not run.state.room_view(run.service).holds_back(run.room_rank, way):
             self._has_asked = True
             return True
-        is_last_chance = 0.0 < run.in_time_left_s <= room_order.LAST_CHANCE_S
+        is_last_chance = 0.0 < run.target_left_s <= room_order.LAST_CHANCE_S
         may_ask = is_last_chance and not self._had_last_chance
         self._had_last_chance |= is_last_chance
         return may_ask
 
-    def takes_last_chance(self) -> bool:
+    def may_ask_finally(self) -> bool:
         """Whether it held back all the time: no rank is shut out by the waits of another."""
         may_ask = not (self._has_asked or self._had_last_chance)
         self._had_last_chance = True
@@ -135,11 +135,11 @@
     def pause_s(self, now: float) -> float:
         """By the rank, and not beyond the moment at which it would be late."""
         run = self.run
-        self._wait_as(run.room_rank)
+        self._count_as_waiting(run.room_rank)
         # One that is late already leaves room to others.
-        target_s = run.route.target_s if run.in_time_left_s > 0.0 else math.inf
+        target_s = run.route.target_s if run.target_left_s > 0.0 else math.inf
         pause_s = room_order.pause_s(run.room_rank, target_s=target_s)
-        left_s = run.in_time_left_s - room_order.LAST_CHANCE_S / 2
+        left_s = run.target_left_s - room_order.LAST_CHANCE_S / 2
         if left_s <= 0.0:
             return pause_s
         return min(pause_s, max(room_order.SHORTEST_PAUSE_S, left_s))
@@ -157,9 +157,9 @@
 
     def close(self) -> None:
         """It is not among those that wait any more."""
-        self._wait_as(None)
+        self._count_as_waiting(None)
 
-    def _wait_as(self, rank: int | None) -> None:
+    def _count_as_waiting(self, rank: int | None) -> None:
         """Count the request among those that wait with a rank, which may change meanwhile."""
         if rank == self._rank:
             return
--- a/src/croftchute/forwarding/workers/stage_coordinator.py
+++ b/src/croftchute/forwarding/workers/stage_coordinator.py
@@ -15,7 +15,7 @@
 from croftchute.forwarding.decision_log import Decision
 from croftchute.forwarding.http.failures import ConnectFailedError, ExchangeError
 from croftchute.forwarding.state import ForwardingState
-from croftchute.forwarding.workers.worker_control import give_stage_order
+from croftchute.forwarding.workers.worker_control import send_stage_order
 from croftchute.storage.watched import LeaseStore
 from croftchute.systems.service_capacity import READ_SHARE_OF_TARGET, EnginePower, SplitWay
 from croftchute.systems.stage_balance import StageChange, wanted_changes
@@ -26,7 +26,7 @@
 CHECK_S = 0.5
 """Seconds between two looks at what is wanted."""
 
-FIRST_TRY_S = 4.0
+MAX_FIRST_TRY_DELAY_S = 4.0
 """Longest time after the start at which a box first tries for the lease: spreads the tries."""
 
 LEASE_KEY = "croftchute/stage-orders"
@@ -43,37 +43,37 @@
 QUIET_MARGIN_S = 1.5
 """Added to the time between two holders' orders: an order may be as long on its way."""
 
-MAX_VERIFY_S = 0.3
+MAX_LEASE_CHECK_S = 0.3
 """Longest time between asking whether the lease is held and giving an order by the answer."""
 
 COOL_DOWN_S = 3.0
 """Seconds between two tries for the lease, and after a failed call."""
 
-BETWEEN_ORDERS_S = 1.0
+BATCH_INTERVAL_S = 1.0
 """Seconds between two batches of orders: the list shows changes within about a second."""
 
-MAX_AT_ONCE = 8
+MAX_BATCH_SIZE = 8
 """Most orders in one batch: connections and calls of one box at a time."""
 
-ORDER_LASTS_S = 14.0
+MAX_ORDER_PENDING_S = 14.0
 """Seconds for which an order counts as on its way: one that got no answer may be carried out 12 s
 later, and the list tells of it some seconds after."""
 
 LASTS_S = 0.4
 """Seconds for which a change to decode must have been wanted."""
 
-PREFILL_LASTS_S = 5.0
+MIN_PREFILL_NEED_S = 5.0
 """The same for a change to prefill: a prefill worker that crashed is mostly back within 5 s. With
 ``headroom`` for both: a change that a crash caused cannot be undone soon."""
 
 ACCEPTED = 202
 """Status of an order that the worker has begun to carry out: it takes no work until it is done."""
 
-CHANGE_MARGIN_S = 2.5
+STAGE_CHANGE_MARGIN_S = 2.5
 """Seconds beside the switch itself for which a changing worker is passed over, unless the list
 shows its new stage before: its streams end first, and the list tells of it within a second."""
 
-MAX_LAPSE_S = 1.5
+MAX_NEED_GAP_S = 1.5
 """A need that was not seen for so many seconds begins anew."""
 
 
@@ -94,7 +94,7 @@
     at: float
 
 
-class StageOrders:
+class StageCoordinator:
     """Holds the lease if it gets it, and carries out the stage changes that are wanted."""
 
     def __init__(
@@ -103,35 +103,39 @@
         state: ForwardingState,
         store: LeaseStore,
         holder_gap_s: float,
-        may_try: Callable[[], bool],
+        may_acquire_lease: Callable[[], bool],
     ) -> None:
         self.state = state
         self.store = store
-        self.may_try = may_try
+        self.may_acquire_lease = may_acquire_lease
         self.quiet_s = holder_gap_s + QUIET_MARGIN_S
         self.turn: Turn | None = None
         self._next_try_at = 0.0
         self._renew_at = 0.0
-        self._orders_by_worker: dict[str, _Order] = {}
-        self._wanted_since: dict[tuple[str, Stage], tuple[float, float]] = {}
+        self._pending_orders: dict[str, _Order] = {}
+        self._need_seen_by_change: dict[tuple[str, Stage], tuple[float, float]] = {}
         self._headroom_by_service: dict[str, StageHeadroom] = {}
 
     async def run(self) -> None:
         """Look again and again; never returns."""
-        self._next_try_at = self.state.clock() + self.state.rng.uniform(0.25, 1.0) * FIRST_TRY_S
+        self._next_try_at = (
+            self.state.clock() + self.state.rng.uniform(0.25, 1.0) * MAX_FIRST_TRY_DELAY_S
+        )
         is_first = True
         while True:
             await asyncio.sleep(CHECK_S * self.state.rng.uniform(0.8, 1.2))
             if self.state.is_stopping:
                 continue
             # What is wanted takes 0.6 ms to work out: boxes that could not order it leave it be.
-            may_order = self.turn is not None or self.may_try()
+            may_order = self.turn is not None or self.may_acquire_lease()
             changes = self.wanted() if may_order else []
             try:
                 if self.turn is None:
-                    is_first = await self._try_for_turn(is_first=is_first, is_needed=bool(changes))
+                    is_first = await self._try_acquire_lease(
+                        is_first=is_first, is_needed=bool(changes)
+                    )
                 else:
-                    await self._use_turn(self.turn, changes)
+                    await self._use_lease(self.turn, changes)
             except (StoreError, ExchangeError) as error:
                 self._next_try_at = self.state.clock() + COOL_DOWN_S
                 self.state.log.decide(
@@ -147,18 +151,18 @@
             if service.engine is None:
                 continue
             changes = self._changes(table, service, service.engine)
-            if changes and self._has_lasted(changes[0]):
-                return changes[:MAX_AT_ONCE]
+            if changes and self._is_sustained(changes[0]):
+                return changes[:MAX_BATCH_SIZE]
         return []
 
     def _changes(
         self, table: RoutingTable, service: Service, traits: EngineTraits
     ) -> list[StageChange]:
         """The changes that one service needs at the moment."""
-        beliefs = self._staying(service.name)
+        beliefs = self._remaining_workers(service.name)
         counts = self.state.fleet_demand(service.name)
         pace = self.state.prefill_pace(service.name)
-        ordered = self._ordered() | self._resting(beliefs)
+        ordered = self._pending_stages() | self._resting_stages(beliefs)
         if self.split_way(service.name) is SplitWay.HEADROOM:
             now = self.state.clock()
             headroom = self._headroom_by_service.setdefault(service.name, StageHeadroom())
@@ -176,7 +180,7 @@
             prefill_pace=pace.pace,
             kv_tokens=traits.kv_tokens,
             slots=traits.slots,
-            read_limit_s=self._read_limit_s(table, service.name),
+            read_limit_s=self._prefill_limit_s(table, service.name),
         )
         return wanted_changes(beliefs, counts, power, ordered=ordered)
 
@@ -187,14 +191,14 @@
             return way
         return SplitWay.HEADROOM if self.state.tells_pace(service) else SplitWay.FIXED_USE
 
-    def _staying(self, service: str) -> list[WorkerBelief]:
+    def _remaining_workers(self, service: str) -> list[WorkerBelief]:
         """The workers of a service that did not say that they leave."""
         workers = self.state.workers
         return [
             b for b in workers.of_service(service) if not workers.wishes.is_leaving(b.worker.id)
         ]
 
-    def _resting(self, beliefs: list[WorkerBelief]) -> dict[str, Stage]:
+    def _resting_stages(self, beliefs: list[WorkerBelief]) -> dict[str, Stage]:
         """The stages of workers that rest: they count as they are, and get no order meanwhile."""
         now = self.state.clock()
         wishes = self.state.workers.wishes
@@ -204,48 +208,48 @@
             if belief.worker.stage is not None and wishes.rest_left_s(belief.worker.id, now) > 0.0
         }
 
-    def _read_limit_s(self, table: RoutingTable, service: str) -> float:
+    def _prefill_limit_s(self, table: RoutingTable, service: str) -> float:
         """The time in which prompts of a service should be read; 0 where that is not looked at."""
         targets = table.stream_targets(service)
         if self.split_way(service) is not SplitWay.BY_TARGET or not targets:
             return 0.0
         return READ_SHARE_OF_TARGET * min(targets)
 
-    def _ordered(self) -> dict[str, Stage]:
+    def _pending_stages(self) -> dict[str, Stage]:
         """Stages of workers whose orders are on their way; forgets orders that are not."""
         now = self.state.clock()
         beliefs_by_id = self.state.workers.beliefs_by_id
-        for worker_id, order in list(self._orders_by_worker.items()):
+        for worker_id, order in list(self._pending_orders.items()):
             belief = beliefs_by_id.get(worker_id)
             is_done = belief is None or belief.worker.stage is order.stage
-            if is_done or now - order.at > ORDER_LASTS_S:
-                del self._orders_by_worker[worker_id]
-        return {worker_id: order.stage for worker_id, order in self._orders_by_worker.items()}
+            if is_done or now - order.at > MAX_ORDER_PENDING_S:
+                del self._pending_orders[worker_id]
+        return {worker_id: order.stage for worker_id, order in self._pending_orders.items()}
 
-    def _has_lasted(self, change: StageChange) -> bool:
+    def _is_sustained(self, change: StageChange) -> bool:
         """Whether the same need has been seen for a while: workers that crash come back."""
         key = (change.worker.service, change.stage)
         now = self.state.clock()
-        first, last = self._wanted_since.get(key, (now, now))
-        if now - last > MAX_LAPSE_S:
+        first, last = self._need_seen_by_change.get(key, (now, now))
+        if now - last > MAX_NEED_GAP_S:
             first = now
-        self._wanted_since[key] = (first, now)
-        return now - first >= self._lasts_s(change)
+        self._need_seen_by_change[key] = (first, now)
+        return now - first >= self._min_need_s(change)
 
-    def _lasts_s(self, change: StageChange) -> float:
+    def _min_need_s(self, change: StageChange) -> float:
         """For how long a change must have been wanted, in seconds."""
         is_patient = self.split_way(change.worker.service) is SplitWay.HEADROOM
         if change.is_urgent or (change.stage is Stage.DECODE and not is_patient):
             return LASTS_S
-        return PREFILL_LASTS_S
+        return MIN_PREFILL_NEED_S
 
-    async def _try_for_turn(self, *, is_first: bool, is_needed: bool) -> bool:
+    async def _try_acquire_lease(self, *, is_first: bool, is_needed: bool) -> bool:
         """Take the lease if nobody has it: once after the start, later when it is needed.
 
         Only boxes that read the store try: each try is a call of it.
         """
         now = self.state.clock()
-        if now < self._next_try_at or not (is_first or is_needed) or not self.may_try():
+        if now < self._next_try_at or not (is_first or is_needed) or not self.may_acquire_lease():
             return is_first
         self._next_try_at = now + COOL_DOWN_S
         if await self.store.item(LEASE_KEY) is not None:
@@ -259,26 +263,26 @@
             self.state.log.decide(Decision.STAGE_ORDER, outcome="lease_taken", token=token)
         return False
 
-    async def _use_turn(self, turn: Turn, changes: list[StageChange]) -> None:
+    async def _use_lease(self, turn: Turn, changes: list[StageChange]) -> None:
         now = self.state.clock()
         if now >= self._renew_at:
             self._renew_at = now + RENEW_S
             if not await self.store.keep_lease(turn.lease):
-                self._give_up_turn(turn)
+                self._drop_lease(turn)
                 return
         if not changes or now - turn.since < self.quiet_s or now < self._next_try_at:
             return
-        self._next_try_at = now + BETWEEN_ORDERS_S
-        await self._order_all(turn, changes)
+        self._next_try_at = now + BATCH_INTERVAL_S
+        await self._send_orders(turn, changes)
 
-    async def _order_all(self, turn: Turn, changes: list[StageChange]) -> None:
+    async def _send_orders(self, turn: Turn, changes: list[StageChange]) -> None:
         """Give orders, if the lease is surely still held."""
         now = self.state.clock()
         item = await self.store.item(LEASE_KEY)
         if item is None or item.revision != turn.token:
-            self._give_up_turn(turn)
+            self._drop_lease(turn)
             return
-        if self.state.clock() - now > MAX_VERIFY_S:
+        if self.state.clock() - now > MAX_LEASE_CHECK_S:
             self._log("verified_too_late", changes[0], turn)
             return
         await asyncio.gather(*(self._order(turn, change) for change in changes))
@@ -287,24 +291,24 @@
         """Give one order, and count it as on its way unless the worker refused it."""
         worker_id = change.worker.id
         order = _Order(stage=change.stage, at=self.state.clock())
-        self._orders_by_worker[worker_id] = order
+        self._pending_orders[worker_id] = order
         try:
-            status = await give_stage_order(
+            status = await send_stage_order(
                 self.state, change.worker, change.stage, holder=self.state.box, token=turn.token
             )
             outcome = f"status_{status}"
             if status not in TAKEN:
-                del self._orders_by_worker[worker_id]
+                del self._pending_orders[worker_id]
             if status == ACCEPTED:
                 self._note_changing(change)
         except ConnectFailedError as error:
-            del self._orders_by_worker[worker_id]
+            del self._pending_orders[worker_id]
             outcome = error.code.value
         except ExchangeError as error:
             # It may still be carried out: it counts as if it had been answered.
             outcome = error.code.value
         headroom = self._headroom_by_service.get(change.worker.service)
-        if headroom is not None and worker_id in self._orders_by_worker:
+        if headroom is not None and worker_id in self._pending_orders:
             headroom.note_ordered(worker_id, change.stage, order.at)
         self._log(outcome, change, turn)
 
@@ -314,16 +318,16 @@
         service = table.services_by_name.get(change.worker.service) if table is not None else None
         if service is None or service.engine is None:
             return
-        for_s = service.engine.switch_s + CHANGE_MARGIN_S
+        for_s = service.engine.switch_s + STAGE_CHANGE_MARGIN_S
         now = self.state.clock()
         self.state.workers.note_changing(change.worker.id, change.stage, now, for_s=for_s)
 
     def note_restored(self) -> None:
         """The store came back from an older copy: a lease that it granted before is not held."""
         if self.turn is not None:
-            self._give_up_turn(self.turn)
+            self._drop_lease(self.turn)
 
-    def _give_up_turn(self, turn: Turn) -> None:
+    def _drop_lease(self, turn: Turn) -> None:
         self.turn = None
         self.state.log.decide(Decision.STAGE_ORDER, outcome="lease_lost", token=turn.token)
 
--- a/src/croftchute/forwarding/workers/stream_run.py
+++ b/src/croftchute/forwarding/workers/stream_run.py
@@ -17,11 +17,11 @@
     ExchangeError,
 )
 from croftchute.forwarding.http.http_client import ResponseHead
-from croftchute.forwarding.workers.answer_completion import answered_once_read
-from croftchute.forwarding.workers.chunk_reader import PartReader
-from croftchute.forwarding.workers.decode_reservation import DecodeRoom
-from croftchute.forwarding.workers.prompt_cache_lookup import find_keeper
-from croftchute.forwarding.workers.prompt_prefill import PromptReader
+from croftchute.forwarding.workers.answer_completion import finish_answer
+from croftchute.forwarding.workers.chunk_reader import ChunkReader
+from croftchute.forwarding.workers.decode_reservation import DecodeReservation
+from croftchute.forwarding.workers.prompt_cache_lookup import find_cached_worker
+from croftchute.forwarding.workers.prompt_prefill import PromptPrefill
 from croftchute.forwarding.workers.request_run import RequestRun
 from croftchute.forwarding.workers.worker_call import WorkerCall
 from croftchute.systems import patience
@@ -35,7 +35,7 @@
 class StreamProgress:
     """How far the stream has come at the caller, and what is known of its attempts.
 
-    ``may_return_at_once``: a refused reading took the last attempt; the next try needs none.
+    ``may_retry_at_once``: a refused reading took the last attempt; the next try needs none.
     """
 
     last_event: int | None
@@ -45,8 +45,8 @@
     is_answered: bool = False
     code: Code = Code.NO_UPSTREAM
     detail: str = "no worker is known to be usable"
-    started_worker: str = ""
-    may_return_at_once: bool = False
+    serving_worker: str = ""
+    may_retry_at_once: bool = False
 
 
 class StreamRun:
@@ -55,8 +55,8 @@
     def __init__(self, *, run: RequestRun) -> None:
         self.run = run
         self.progress = StreamProgress(last_event=run.facts.resume_after)
-        self.reader = PromptReader(run=run)
-        self.room = DecodeRoom(run=run)
+        self.reader = PromptPrefill(run=run)
+        self.room = DecodeReservation(run=run)
 
     async def serve(self) -> None:
         """Run the stream to its end, or give it up."""
@@ -69,7 +69,7 @@
             return
         if progress.is_whole:
             self.run.exchange.finish()
-            await answered_once_read(self.run, 200, progress.started_worker)
+            await finish_answer(self.run, 200, progress.serving_worker)
         elif self.run.exchange.is_started:
             self.run.broken(progress.detail)
         else:
@@ -92,23 +92,23 @@
             is_large=run.is_large,
         )
         if facts.resume_after is not None:
-            self.reader.keeper = self.room.kept_at = await find_keeper(run)
+            self.reader.keeper = self.room.kept_at = await find_cached_worker(run)
         while run.time_left_s > 0.0 and not self._is_over():
             found = await self.room.reserve()
             self._note_room()
             if found is None:
                 return
-            source = await self.reader.read_for(found[0])
+            source = await self.reader.prefill_for(found[0])
             if run.state.workers.wishes.rest_left_s(found[0].worker.id, run.now) > 0.0:
                 # It asked for rest while the prompt was read: its room is left for another's.
-                self.room.drop_unused()
+                self.room.release_unused()
                 continue
             if len(run.workers_sent_to) >= run.route.max_attempts and (
                 found[0].worker.id not in run.workers_sent_to
             ):
-                self.progress.may_return_at_once = self._prefill_rests()
+                self.progress.may_retry_at_once = self._are_prefill_workers_resting()
                 return
-            if not run.may_send_again():
+            if not run.spend_retry_budget():
                 return
             await self._decode(*found, source)
 
@@ -118,7 +118,7 @@
             return True
         return progress.may_have_run and not self.run.route.may_repeat
 
-    def _prefill_rests(self) -> bool:
+    def _are_prefill_workers_resting(self) -> bool:
         """Whether prompts are read by decode workers alone, as those that read ahead rest."""
         run = self.run
         return run.state.workers.rest_left_s(run.service, run.now, stage=Stage.PREFILL) > 0.0
@@ -131,8 +131,8 @@
             self.progress.detail = self.room.detail
 
     def _free_unused(self) -> None:
-        self.reader.free_unused()
-        self.room.drop_unused()
+        self.reader.release_unused_handle()
+        self.room.release_unused()
 
     # Decode.
 
@@ -152,18 +152,18 @@
         call = WorkerCall(run=run, belief=belief, send=send, chosen=chosen)
         try:
             await call.open()
-            self.room.note_used()
+            self.room.mark_used()
             run.arrivals += 1
             run.workers_sent_to.add(belief.worker.id)
             await self._take(call, source)
         except ConnectFailedError as error:
-            self.room.drop_unused()
+            self.room.release_unused()
             run.connect_failures += 1
             call.failed(error)
             progress.code, progress.detail = error.code, error.message
         except CallerSlowError as error:
             progress.may_have_run = True
-            call.given_up(error)
+            call.record_slow_caller(error)
             progress.code, progress.detail = error.code, error.message
         except ExchangeError as error:
             progress.may_have_run = True
@@ -178,8 +178,8 @@
     async def _take(self, call: WorkerCall, source: PrefillHandle | None) -> None:
         run = self.run
         wait_s = run.time_left_s
-        if self._may_go_elsewhere():
-            wait_s = self._first_event_patience(source)
+        if self._can_fail_over():
+            wait_s = self._first_event_timeout_s(source)
         head = await call.head(wait_s)
         verdict = run.state.workers_speak.verdict(head)
         if verdict is Verdict.ANSWERED:
@@ -190,7 +190,7 @@
             return
         body = await call.body(run.time_left_s)
         if verdict is Verdict.FAILED:
-            self._take_failure(call, head, body)
+            self._handle_failure(call, head, body)
             return
         self.progress.code = Code.NO_CAPACITY
         self.progress.detail = f"worker said {verdict.value}"
@@ -200,7 +200,7 @@
         else:
             call.rejected(verdict)
 
-    def _first_event_patience(self, source: PrefillHandle | None) -> float:
+    def _first_event_timeout_s(self, source: PrefillHandle | None) -> float:
         run = self.run
         if source is not None:
             return patience.first_event_patience(run.route, time_left_s=run.time_left_s)
@@ -213,18 +213,18 @@
             run.route, predicted_s=times.own_s, time_left_s=run.time_left_s
         )
 
-    def _may_go_elsewhere(self) -> bool:
+    def _can_fail_over(self) -> bool:
         run = self.run
         has_attempts = len(run.workers_sent_to) < run.route.max_attempts
         return run.route.may_repeat and has_attempts and run.has_other_worker(Stage.DECODE)
 
-    def _take_failure(self, call: WorkerCall, head: ResponseHead, body: bytes) -> None:
+    def _handle_failure(self, call: WorkerCall, head: ResponseHead, body: bytes) -> None:
         call.faulty(head.status)
         progress = self.progress
         progress.may_have_run = True
         progress.code = Code.UPSTREAM_FAILED
         progress.detail = f"worker answered {head.status}"
-        if self._may_go_elsewhere() or self.run.exchange.is_started:
+        if self._can_fail_over() or self.run.exchange.is_started:
             return
         if head.status in (408, 421, 429, 503):
             return
@@ -233,16 +233,18 @@
         self.run.answered(head.status, call.worker.id)
         progress.is_answered = True
 
-    async def _pass_on(self, call: WorkerCall, head: ResponseHead, first_wait_s: float) -> None:
+    async def _pass_on(
+        self, call: WorkerCall, head: ResponseHead, first_chunk_timeout_s: float
+    ) -> None:
         run = self.run
         progress = self.progress
         splitter = EventSplitter()
         is_resumed = progress.last_event is not None
-        parts = PartReader(
+        parts = ChunkReader(
             run=run,
             call=call,
-            first_wait_s=first_wait_s,
-            may_go_elsewhere=self._may_go_elsewhere,
+            first_chunk_timeout_s=first_chunk_timeout_s,
+            can_fail_over=self._can_fail_over,
         )
         while part := await parts.next():
             events = splitter.feed(part)
@@ -250,7 +252,7 @@
                 await self._write(call, head, events)
                 if self.run.exchange.is_bounded and self.run.exchange.is_held_up:
                     await call.wait_for_caller()
-                    parts.note_resumed()
+                    parts.mark_resumed()
         if splitter.leftover:
             raise ConnectionBrokenError("stream ended inside an event")
         if not run.exchange.is_started:
@@ -285,7 +287,7 @@
     def _start(self, call: WorkerCall, head: ResponseHead) -> None:
         run = self.run
         run.first_byte_at = run.now
-        self.progress.started_worker = call.worker.id
+        self.progress.serving_worker = call.worker.id
         headers: HeaderList = run.state.workers_speak.answer_headers(head)
         run.exchange.start(head.status, head.reason, headers)
 
@@ -297,7 +299,7 @@
                 _not_run_code(progress.code),
                 Ran.NOT_RUN,
                 progress.detail,
-                expected_wait_s=0.0 if progress.may_return_at_once else None,
+                expected_wait_s=0.0 if progress.may_retry_at_once else None,
             )
             return
         is_late = run.time_left_s <= 0.0
--- a/src/croftchute/forwarding/workers/worker_call.py
+++ b/src/croftchute/forwarding/workers/worker_call.py
@@ -10,10 +10,10 @@
 from croftchute.forwarding.http.deadline import within
 from croftchute.forwarding.http.failures import AnswerLateError, CallerSlowError, ExchangeError
 from croftchute.forwarding.http.http_client import ClientConnection, ResponseHead
-from croftchute.forwarding.workers.crash_detection import note_broken
-from croftchute.forwarding.workers.load_and_pace import note_answer_pace, note_load
+from croftchute.forwarding.workers.crash_detection import check_after_broken_answer
+from croftchute.forwarding.workers.load_and_pace import note_load, record_answer_pace
 from croftchute.forwarding.workers.request_run import RequestRun
-from croftchute.forwarding.workers.worker_signals import note_displaced, note_wish
+from croftchute.forwarding.workers.worker_signals import note_displaced, record_signals
 from croftchute.systems import patience
 from croftchute.systems.worker_belief import WorkerBelief
 from croftchute.systems.worker_choice import ChoiceInput
@@ -64,7 +64,7 @@
     @property
     def _digest(self) -> str:
         """What an end of the worker is held against: the request, or the reading of its prompt."""
-        return self.run.reading_digest if self.send.is_prefill else self.run.digest
+        return self.run.prefill_digest if self.send.is_prefill else self.run.digest
 
     @property
     def _call(self) -> str:
@@ -130,7 +130,7 @@
         """The head of the answer; raises AnswerLateError or ConnectionBrokenError."""
         assert self.connection is not None
         head = await within(self.connection.read_head(), timeout_s, "no head")
-        note_wish(self.run.state, self.worker, head, call=self._call)
+        record_signals(self.run.state, self.worker, head, call=self._call)
         note_load(self.run.state, self.worker, head)
         return head
 
@@ -163,7 +163,7 @@
             exchange.note_unread(0)
         connection.resume_reading()
 
-    def given_up(self, error: CallerSlowError) -> None:
+    def record_slow_caller(self, error: CallerSlowError) -> None:
         """The caller did not read the answer in its time: nothing is held against the worker."""
         self._ended("caller_slow", detail=error.message)
 
@@ -173,7 +173,7 @@
         self.run.state.workers.note_answer(
             self.worker.id, self.run.now - self.opened_at, self.run.now
         )
-        note_answer_pace(self.run.state, self.worker, self.run.now - self.opened_at)
+        record_answer_pace(self.run.state, self.worker, self.run.now - self.opened_at)
         if self.run.state.crashes.by_digest:
             self.run.state.crashes.note_good_end(self._digest, self.run.now)
 
@@ -187,8 +187,8 @@
         if error.code is Code.TARGET_UNREACHABLE:
             self.run.state.workers.note_unreachable(self.worker.id, self.run.now)
         if error.code is Code.UPSTREAM_FAILED:
-            note_broken(self.run.state, self.worker, self._digest)
-        self._hold_against(weight, error.code.value, error.message)
+            check_after_broken_answer(self.run.state, self.worker, self._digest)
+        self._add_failure_score(weight, error.code.value, error.message)
 
     def rejected(self, verdict: Verdict) -> None:
         """The worker did not run the request, or another one answered in its place."""
@@ -199,7 +199,7 @@
             # Peers hear of the weight: each would lose a prompt there before it knows.
             weight = WEIGHT_DISPLACED
             note_displaced(self.run.state, self.worker)
-        self._hold_against(weight, verdict.value, "")
+        self._add_failure_score(weight, verdict.value, "")
 
     def lacked(self, source: PrefillHandle) -> None:
         """The worker could not fetch the prompt's cache: that is held against its source."""
@@ -210,7 +210,7 @@
     def faulty(self, status: int) -> None:
         """The worker ran the request and failed."""
         self.run.avoid.add(self.worker.id)
-        self._hold_against(WEIGHT_FAILED, f"status_{status}", "")
+        self._add_failure_score(WEIGHT_FAILED, f"status_{status}", "")
 
     def close(self) -> None:
         """Give the connection back, or close it if the answer is not whole."""
@@ -228,7 +228,7 @@
             )
             self.connection = None
 
-    def _hold_against(self, weight: float, outcome: str, detail: str) -> None:
+    def _add_failure_score(self, weight: float, outcome: str, detail: str) -> None:
         score = self.run.state.workers.note_failure(self.worker.id, weight, self.run.now)
         self._ended(outcome, failures_now=round(score, 2), detail=detail)
 
--- a/src/croftchute/forwarding/workers/worker_control.py
+++ b/src/croftchute/forwarding/workers/worker_control.py
@@ -16,24 +16,24 @@
 from croftchute.forwarding.http.http_client import ResponseHead
 from croftchute.forwarding.permits import PermitRequest
 from croftchute.forwarding.state import ForwardingState
-from croftchute.forwarding.workers.load_and_pace import note_told_pace
-from croftchute.forwarding.workers.worker_signals import note_displaced, note_wish
+from croftchute.forwarding.workers.load_and_pace import record_reported_pace
+from croftchute.forwarding.workers.worker_signals import note_displaced, record_signals
 from croftchute.systems import patience
 from croftchute.tables.routing import Stage, Worker
 
-MAX_CONTROL_BYTES = 1 << 20
+MAX_CONTROL_BODY_BYTES = 1 << 20
 STATUS_OK = 200
 
 STATUS_NOT_PERMITTED = 429
 """Stands for the answer of a worker that was not called, as a limit that it names is reached."""
 
-REPORT_AND_ORDER = 2
+CALLS_PER_STAGE_ORDER = 2
 """Calls of a worker that an order takes."""
 
-STATUS_OTHER_LIFE = 421
+STATUS_OTHER_PROCESS = 421
 """Stands for the answer of a worker that took no order as it is not the one that was meant."""
 
-LONGEST_LEASE_S = 10.0
+MAX_HOLD_S = 10.0
 """Seconds for which a worker keeps a hold or a handle at most that nobody uses: the sites' sheets
 name 0.5 to 2. What a worker that rests for longer keeps is left to lapse."""
 
@@ -72,11 +72,11 @@
     try:
         connection.send(data, expected=None)
         head = await within(connection.read_head(), answer_s, "no head")
-        note_wish(state, worker, head, call="control")
-        note_told_pace(state, worker, head)
+        record_signals(state, worker, head, call="control")
+        record_reported_pace(state, worker, head)
         if state.workers_speak.verdict(head) is Verdict.WRONG_WORKER:
             note_displaced(state, worker)
-        body = await within(connection.read_body(MAX_CONTROL_BYTES), answer_s, "no body")
+        body = await within(connection.read_body(MAX_CONTROL_BODY_BYTES), answer_s, "no body")
         return head, body
     finally:
         state.pool.release(connection, worker.host, worker.port, owner=worker.id, now=state.clock())
@@ -89,15 +89,15 @@
 
     What is granted later than anyone waits for it is given back as soon as the grant comes.
     """
-    asking = asyncio.ensure_future(_ask_for_hold(state, worker, tokens, ttl_s))
+    asking = asyncio.ensure_future(_request_hold(state, worker, tokens, ttl_s))
     try:
         return await within(asyncio.shield(asking), patience.HOLD_TIMEOUT_S, "no hold")
     except (AnswerLateError, asyncio.CancelledError):
-        state.spawn(_drop_late_hold(state, asking))
+        state.spawn(_release_late_hold(state, asking))
         raise
 
 
-async def _ask_for_hold(
+async def _request_hold(
     state: ForwardingState, worker: Worker, tokens: int, ttl_s: float
 ) -> Hold | None:
     data = state.workers_speak.take_hold(worker, tokens, ttl_s)
@@ -112,7 +112,7 @@
         raise ConnectionBrokenError(error.message) from None
 
 
-async def _drop_late_hold(state: ForwardingState, asking: asyncio.Future[Hold | None]) -> None:
+async def _release_late_hold(state: ForwardingState, asking: asyncio.Future[Hold | None]) -> None:
     """Give a hold back that nobody waits for any more, if it is granted at all."""
     try:
         hold = await asking
@@ -129,13 +129,13 @@
     await _release(state, hold.worker, data, Decision.HOLD_DROPPED, request_id)
 
 
-async def free_handle(state: ForwardingState, handle: PrefillHandle, request_id: str) -> None:
+async def release_handle(state: ForwardingState, handle: PrefillHandle, request_id: str) -> None:
     """Free a prompt's KV cache that nobody will fetch."""
     data = state.workers_speak.release(handle)
     await _release(state, handle.worker, data, Decision.HANDLE_FREED, request_id)
 
 
-async def ask_kept_parts(state: ForwardingState, worker: Worker) -> dict[str, int]:
+async def fetch_cached_parts(state: ForwardingState, worker: Worker) -> dict[str, int]:
     """Tokens that a worker keeps by prompt part; ExchangeError or MessageError if it fails."""
     if not await state.permits.acquire(worker):
         return {}
@@ -144,11 +144,11 @@
     return state.workers_speak.kept(body) if status == STATUS_OK else {}
 
 
-async def give_stage_order(
+async def send_stage_order(
     state: ForwardingState, worker: Worker, stage: Stage, *, holder: str, token: int
 ) -> int:
     """Order a worker to change its stage, if nothing was ordered since it was asked."""
-    if not await state.permits.acquire(worker, PermitRequest(calls=REPORT_AND_ORDER)):
+    if not await state.permits.acquire(worker, PermitRequest(calls=CALLS_PER_STAGE_ORDER)):
         return STATUS_NOT_PERMITTED
     status, body = await control_call(
         state, worker, state.workers_speak.ask_report(worker), patience.CONNECT_S
@@ -158,7 +158,7 @@
     report = state.workers_speak.report(body)
     if None not in (report.born_ms, worker.born_ms) and report.born_ms != worker.born_ms:
         # Another life answers under the name: the order was meant for the one before it.
-        return STATUS_OTHER_LIFE
+        return STATUS_OTHER_PROCESS
     data = state.workers_speak.stage_order(
         worker, stage, holder=holder, token=token, sequence=report.orders_taken
     )
@@ -169,7 +169,7 @@
 async def _release(
     state: ForwardingState, worker: Worker, data: bytes, kind: Decision, request_id: str
 ) -> None:
-    may_call = await _has_rested(state, worker) and await state.permits.acquire(worker)
+    may_call = await _wait_until_rested(state, worker) and await state.permits.acquire(worker)
     if not may_call:
         state.log.decide(kind, request_id=request_id, outcome="left to lapse", worker=worker.id)
         return
@@ -181,10 +181,10 @@
     state.log.decide(kind, request_id=request_id, outcome=outcome, worker=worker.id)
 
 
-async def _has_rested(state: ForwardingState, worker: Worker) -> bool:
+async def _wait_until_rested(state: ForwardingState, worker: Worker) -> bool:
     """Wait until a worker takes calls again; False if what it keeps lapses before."""
     while (rest_s := state.workers.wishes.rest_left_s(worker.id, state.clock())) > 0.0:
-        if rest_s > LONGEST_LEASE_S:
+        if rest_s > MAX_HOLD_S:
             return False
         await asyncio.sleep(rest_s)
     return True
--- a/src/croftchute/forwarding/workers/worker_restart.py
+++ b/src/croftchute/forwarding/workers/worker_restart.py
@@ -8,7 +8,7 @@
 from croftchute.tables.routing import Worker
 
 
-def end_life(state: ForwardingState, worker: Worker, *, revision: int) -> None:
+def close_stale_connections(state: ForwardingState, worker: Worker, *, revision: int) -> None:
     """Close all connections to an earlier life: what ran there is known to have failed.
 
     Its process has ended, so no answer will come; those who wait for one go elsewhere now, and not
--- a/src/croftchute/forwarding/workers/worker_signals.py
+++ b/src/croftchute/forwarding/workers/worker_signals.py
@@ -14,7 +14,9 @@
 from croftchute.tables.routing import Worker
 
 
-def note_wish(state: ForwardingState, worker: Worker, head: ResponseHead, *, call: str) -> None:
+def record_signals(
+    state: ForwardingState, worker: Worker, head: ResponseHead, *, call: str
+) -> None:
     """Keep the wish that an answer to ``call`` tells, if it tells one."""
     wish = state.workers_speak.wish(head)
     now = state.clock()
@@ -51,7 +53,7 @@
     state.log.decide(Decision.WORKER_DISPLACED, worker=worker.id, address=worker.address)
 
 
-def note_leaving_heard(state: ForwardingState, worker_id: str, *, sender: str) -> None:
+def record_peer_leaving(state: ForwardingState, worker_id: str, *, sender: str) -> None:
     """Another box tells of a worker that leaves: it gets nothing more, not even as a last resort.
 
     The store may be away for long, and each box would otherwise lose a request there to hear it.
@@ -64,7 +66,7 @@
         )
 
 
-def note_limit_heard(state: ForwardingState, notice: LimitNotice, *, sender: str) -> None:
+def record_peer_limit(state: ForwardingState, notice: LimitNotice, *, sender: str) -> None:
     """Another box tells of a worker that names a limit: it holds for all boxes together."""
     if state.workers.limits.hear(notice, state.clock()):
         state.metrics.wishes.inc({"wish": "limit", "call": "notice"})
--- a/tests/forwarding/workers/test_queue_gauges.py
+++ b/tests/forwarding/workers/test_queue_gauges.py
@@ -11,12 +11,12 @@
 )
 
 from croftchute.forwarding.workers import queue_gauges
-from croftchute.forwarding.workers.queue_gauges import update_order_gauges
+from croftchute.forwarding.workers.queue_gauges import update_queue_gauges
 
 
 def swept(box):
     """The box's metrics after a sweep."""
-    update_order_gauges(box.state, box.state.clock())
+    update_queue_gauges(box.state, box.state.clock())
     return box.state.metrics
 
 
@@ -64,7 +64,7 @@
 
 def test_paces_show_for_a_bounded_number_of_listed_workers(monkeypatch):
     """Guards against series without bound, and against those of workers that are gone."""
-    monkeypatch.setattr(queue_gauges, "MOST_PACES", 2)
+    monkeypatch.setattr(queue_gauges, "MAX_WORKER_PACES", 2)
 
     async def body():
         async with fleet() as made:
--- a/tests/forwarding/workers/test_stage_coordinator.py
+++ b/tests/forwarding/workers/test_stage_coordinator.py
@@ -28,7 +28,7 @@
             raise answer
         return answer
 
-    monkeypatch.setattr(stage_coordinator, "give_stage_order", give)
+    monkeypatch.setattr(stage_coordinator, "send_stage_order", give)
     if has_lost_lease:
         made.store.put(LEASE_KEY, {"holder": "another"})
     worker = box.state.workers.beliefs_by_id["p0"].worker
@@ -38,7 +38,7 @@
     orders.turn = Turn(token=token, lease=1, since=now - 60.0)
     orders._renew_at = now + 60.0
     orders._next_try_at = now
-    await asyncio.wait_for(orders._use_turn(orders.turn, [change]), 30)
+    await asyncio.wait_for(orders._use_lease(orders.turn, [change]), 30)
     return orders, sent
 
 
@@ -50,7 +50,7 @@
             late = AnswerLateError("no head")
             orders, sent = await order_once(made, monkeypatch, answer=late)
             assert sent == ["p0"]
-            assert orders._ordered() == {"p0": Stage.DECODE}
+            assert orders._pending_stages() == {"p0": Stage.DECODE}
 
     run(body)
 
@@ -68,7 +68,7 @@
     async def body():
         async with fleet() as made:
             orders, sent = await order_once(made, monkeypatch, answer=409)
-            assert sent == ["p0"] and orders._ordered() == {}
+            assert sent == ["p0"] and orders._pending_stages() == {}
 
     run(body)
 
@@ -77,10 +77,10 @@
     async def body():
         async with fleet() as made:
             orders, _ = await order_once(made, monkeypatch)
-            assert orders._ordered() == {"p0": Stage.DECODE}
+            assert orders._pending_stages() == {"p0": Stage.DECODE}
             belief = orders.state.workers.beliefs_by_id["p0"]
             belief.worker = replace(belief.worker, stage=Stage.DECODE)
-            assert orders._ordered() == {}
+            assert orders._pending_stages() == {}
 
     run(body)
 
@@ -120,7 +120,7 @@
 async def add_demand(made, monkeypatch, split):
     """A box with 3 prefill workers and 1 decode worker, and long answers asked for."""
     monkeypatch.setattr(stage_coordinator, "LASTS_S", 0.0)
-    monkeypatch.setattr(stage_coordinator, "PREFILL_LASTS_S", 0.0)
+    monkeypatch.setattr(stage_coordinator, "MIN_PREFILL_NEED_S", 0.0)
     box = await made.add_box()
     for name in ("p0", "p1", "p2"):
         await made.add_worker(name, service="llm", stage="prefill")
@@ -187,7 +187,7 @@
             found = []
             for split in (SplitWay.FIXED_USE, SplitWay.HEADROOM):
                 box.state.ways = DecisionWays(split=split)
-                found.append([box.orders._lasts_s(each) for each in (change, urgent)])
+                found.append([box.orders._min_need_s(each) for each in (change, urgent)])
             assert found == [[0.4, 0.4], [5.0, 0.4]]
 
     run(body)
--- a/tests/platform_adapter/test_hall_news.py
+++ b/tests/platform_adapter/test_hall_news.py
@@ -213,7 +213,9 @@
         async with fleet() as made:
             boxes = await hall_of(made)
             await settle(made, boxes)
-            assert [box.orders.may_try() for box in boxes] == [True, True] + [False] * (BOXES - 2)
+            assert [box.orders.may_acquire_lease() for box in boxes] == [True, True] + [False] * (
+                BOXES - 2
+            )
 
     run(body)
 
--- a/tests/platform_adapter/test_leaving_workers.py
+++ b/tests/platform_adapter/test_leaving_workers.py
@@ -19,7 +19,7 @@
 from platform_fleet import ask, fleet, run, until
 from stream_fleet import PARTS, engines, prefer
 
-from croftchute.forwarding.workers.crash_detection import note_broken
+from croftchute.forwarding.workers.crash_detection import check_after_broken_answer
 from croftchute.systems.worker_belief import GONE_GRACE_S
 
 LATER_REQUESTS = 12
@@ -128,7 +128,9 @@
             leaving.faults.is_leaving = True
             prefer(box, "w0")
             assert (await ask(box, "/once/x", "first")).status == 200
-            note_broken(box.state, box.state.workers.beliefs_by_id["w0"].worker, "digest")
+            check_after_broken_answer(
+                box.state, box.state.workers.beliefs_by_id["w0"].worker, "digest"
+            )
             assert not box.state.crashes.by_digest
             assert not box.state.lives_looked_at
 
--- a/tests/platform_adapter/test_limits_in_trouble.py
+++ b/tests/platform_adapter/test_limits_in_trouble.py
@@ -18,7 +18,7 @@
 from croftchute.forwarding.workers.worker_control import (
     STATUS_NOT_PERMITTED,
     drop_hold,
-    give_stage_order,
+    send_stage_order,
 )
 from croftchute.steady_clock import steady_s
 from croftchute.systems.lent_share import WORKERS_GROUP
@@ -240,7 +240,7 @@
             box, (decode, _), _ = await engines(made)
             worker = box.state.workers.beliefs_by_id["d0"].worker
             exhaust(box, "d0")
-            status = await give_stage_order(
+            status = await send_stage_order(
                 box.state, worker, Stage.PREFILL, holder="box-1", token=1
             )
             hold = box.state.workers_speak.hold(b'{"Hold":"h1"}', worker)
--- a/tests/platform_adapter/test_lives.py
+++ b/tests/platform_adapter/test_lives.py
@@ -5,7 +5,7 @@
 from platform_fleet import ask, fleet, run, until
 from stream_fleet import engines, numbers
 
-from croftchute.forwarding.workers.worker_control import ask_kept_parts, give_stage_order
+from croftchute.forwarding.workers.worker_control import fetch_cached_parts, send_stage_order
 from croftchute.standins.platform_worker import PlatformWorker
 from croftchute.tables.routing import Stage
 
@@ -183,7 +183,7 @@
             await made.ready(box)
             listed = box.state.workers.beliefs_by_id["p0@1"].worker
             worker.born_ms = 2
-            status = await give_stage_order(
+            status = await send_stage_order(
                 box.state, listed, Stage.DECODE, holder="box-1", token=1
             )
             assert (status, worker.orders) == (421, [])
@@ -199,7 +199,7 @@
             await made.ready(box)
             worker.id = "another"
             listed = box.state.workers.beliefs_by_id["d0"].worker
-            await ask_kept_parts(box.state, listed)
+            await fetch_cached_parts(box.state, listed)
             assert box.state.workers.usable("llm", box.state.clock()) == []
 
     run(body)
--- a/tests/platform_adapter/test_load_probe.py
+++ b/tests/platform_adapter/test_load_probe.py
@@ -10,7 +10,7 @@
 
 from croftchute.forwarding.decision_log import Decision
 from croftchute.forwarding.workers.load_probe import PROBE_TIMEOUT_S, probe_loads
-from croftchute.forwarding.workers.prompt_prefill import PromptReader
+from croftchute.forwarding.workers.prompt_prefill import PromptPrefill
 from croftchute.forwarding.workers.request_run import RequestRun
 from croftchute.systems.predicted_end import PlacementWay
 from croftchute.systems.worker_choice import choose
@@ -371,7 +371,7 @@
                 request.avoid = {f"w{seed % 4}"}
                 state.rng = random.Random(seed)
                 if stage is Stage.PREFILL:
-                    found = await PromptReader(run=request)._choose(decode, may_probe=True)
+                    found = await PromptPrefill(run=request)._choose(decode, may_probe=True)
                 else:
                     found = request.choose(stage)
                 expected_rng = random.Random(seed)
--- a/tests/platform_adapter/test_resting_workers.py
+++ b/tests/platform_adapter/test_resting_workers.py
@@ -19,7 +19,7 @@
 from platform_fleet import ask, fleet, run, until
 from stream_fleet import PARTS, engines, prefer
 
-from croftchute.forwarding.workers.worker_control import LONGEST_LEASE_S, drop_hold, take_hold
+from croftchute.forwarding.workers.worker_control import MAX_HOLD_S, drop_hold, take_hold
 from croftchute.systems.patience import FULL_FOR_S
 
 REST_S = 5.0
@@ -154,7 +154,7 @@
             box, (decode, *_), _ = await engines(made)
             state = box.state
             hold = await take_hold(state, state.workers.beliefs_by_id["d0"].worker, 10, 2.0)
-            state.workers.wishes.note_rest("d0", 2 * LONGEST_LEASE_S, state.clock())
+            state.workers.wishes.note_rest("d0", 2 * MAX_HOLD_S, state.clock())
             await drop_hold(state, hold, "r1")
             assert [r.path for r in decode.received] == ["/hold-take"]
 
--- a/tests/platform_adapter/test_room_by_rank.py
+++ b/tests/platform_adapter/test_room_by_rank.py
@@ -15,7 +15,7 @@
 )
 from stream_fleet import engines
 
-from croftchute.forwarding.workers.decode_reservation import DecodeRoom
+from croftchute.forwarding.workers.decode_reservation import DecodeReservation
 from croftchute.systems.room_order import MIN_WAITED_S
 
 ORDER_FIELDS = {"rank", "room_rank", "entry_rank", "entry_age_s"}
@@ -198,7 +198,7 @@
 
 def test_a_request_that_got_room_is_no_longer_taken_for_held_back(monkeypatch):
     """Guards against a later refusal, for another reason, that is told as the work of the order."""
-    reserve, held_back = DecodeRoom.reserve, []
+    reserve, held_back = DecodeReservation.reserve, []
 
     async def reserve_and_keep(self):
         found = await reserve(self)
@@ -206,7 +206,7 @@
             held_back.append((self.run.facts.id, self.run.held_back))
         return found
 
-    monkeypatch.setattr(DecodeRoom, "reserve", reserve_and_keep)
+    monkeypatch.setattr(DecodeReservation, "reserve", reserve_and_keep)
 
     async def body():
         async with fleet(config=ordered_config()) as made:
--- a/tests/platform_adapter/test_streams_order.py
+++ b/tests/platform_adapter/test_streams_order.py
@@ -17,7 +17,7 @@
 from stream_fleet import engines, ran
 
 from croftchute.forwarding.http.failures import ConnectFailedError
-from croftchute.forwarding.workers.decode_reservation import DecodeRoom
+from croftchute.forwarding.workers.decode_reservation import DecodeReservation
 from croftchute.forwarding.workers.worker_call import WorkerCall
 
 ROUTES = [
@@ -83,7 +83,7 @@
 
 def test_a_stream_that_reserves_room_twice_counts_once_for_its_organisation(monkeypatch):
     """The fault: each time it asked for room again its tokens were counted anew."""
-    opened, reserve = WorkerCall.open, DecodeRoom.reserve
+    opened, reserve = WorkerCall.open, DecodeReservation.reserve
     refused, reserved = [], []
 
     async def open_once_refused(self):
@@ -97,7 +97,7 @@
         return await reserve(self)
 
     monkeypatch.setattr(WorkerCall, "open", open_once_refused)
-    monkeypatch.setattr(DecodeRoom, "reserve", counted)
+    monkeypatch.setattr(DecodeReservation, "reserve", counted)
 
     async def body():
         async with ordered(organisations=[organisation("acme", "key-a")]) as made:
--- a/tests/systems/room_run.py
+++ b/tests/systems/room_run.py
@@ -11,7 +11,7 @@
 from croftchute.daemon.router_state import make_state
 from croftchute.errors import Code, Ran
 from croftchute.forwarding.http.exchange import Arrival, Exchange, IncomingRequest
-from croftchute.forwarding.workers.decode_reservation import DecodeRoom
+from croftchute.forwarding.workers.decode_reservation import DecodeReservation
 from croftchute.forwarding.workers.request_run import RequestRun
 from croftchute.router_settings import DecisionWays, RouterSettings
 from croftchute.systems.room_order import OrderWay
@@ -187,7 +187,7 @@
         return run.connection.sent
 
 
-class ScriptedRoom(DecodeRoom):
+class ScriptedRoom(DecodeReservation):
     """Asks no worker: a script says what each ask finds."""
 
     asks = 0
--- a/tests/systems/test_ranked_turn.py
+++ b/tests/systems/test_ranked_turn.py
@@ -7,7 +7,7 @@
 
 from croftchute.errors import Code
 from croftchute.forwarding.decision_log import Decision
-from croftchute.forwarding.workers.queue_reporting import order_facts
+from croftchute.forwarding.workers.queue_reporting import queue_log_fields
 from croftchute.systems.room_forecast import PRIOR_WAIT_S, RoomCounts
 from croftchute.systems.room_order import (
     LAST_CHANCE_S,
@@ -195,7 +195,7 @@
     run = bench.request(2, prompt=SHORT)
     room, found = bench.reserve(run, [FOUND])
     assert found is not None and room.asks == 1
-    assert 0.0 < run.in_time_left_s <= LAST_CHANCE_S
+    assert 0.0 < run.target_left_s <= LAST_CHANCE_S
 
 
 def test_where_urgent_requests_wait_for_long_others_ask_once_too(monkeypatch):
@@ -219,7 +219,7 @@
     run = bench.request(priority, prompt=SHORT)
     bench.reserve(run, [FULL] * 60 + [FOUND])
     assert bench.sleeps and min(bench.sleeps) >= SHORTEST_PAUSE_S
-    assert run.in_time_left_s < 0.0
+    assert run.target_left_s < 0.0
 
 
 # Changes of the configuration.
@@ -306,4 +306,4 @@
     uses = [OrganisationUseNotice(name="o", asked_tokens=9e6, granted_tokens=5e6)]
     bench.state.peers.uses = lambda *_: uses
     run = bench.request(2, organisation="o")
-    assert order_facts(run) == {} and run.rank == 2
+    assert queue_log_fields(run) == {} and run.rank == 2
--- a/tests/systems/test_unordered_room.py
+++ b/tests/systems/test_unordered_room.py
@@ -9,7 +9,7 @@
 
 from croftchute.errors import Code, Ran
 from croftchute.forwarding.decision_log import Decision
-from croftchute.forwarding.workers.queue_reporting import order_facts
+from croftchute.forwarding.workers.queue_reporting import queue_log_fields
 from croftchute.systems import patience
 from croftchute.systems.patience import ReturnWay
 from croftchute.systems.room_forecast import RoomWait
@@ -44,7 +44,7 @@
                 if has_waited:
                     run.state.room(run.service).note_granted(run.now)
                 return found
-            may_come = run.full or (is_begun and self._rests_end_soon())
+            may_come = run.full or (is_begun and self._does_rest_end_soon())
             if not may_come or not self._may_wait(asked_at, is_begun=is_begun):
                 return None
             await asyncio.sleep(pause_s)
@@ -149,7 +149,7 @@
     assert found is not None and not run.held_back
     state = bench.state
     assert state.ranked_room_by_service == {} and state.use_by_service == {}
-    assert order_facts(run) == {}
+    assert queue_log_fields(run) == {}
 
 
 @either
