--- a/src/croftchute/daemon/router_process.py
+++ b/src/croftchute/daemon/router_process.py
@@ -17,7 +17,7 @@
 from croftchute.forwarding.boxes.shared_rates import SharedRates
 from croftchute.forwarding.boxes.worker_permits import WorkerPermits, WorkerSource
 from croftchute.forwarding.callers.forwarder import Forwarder
-from croftchute.forwarding.callers.slow_callers import note_ended
+from croftchute.forwarding.callers.slow_callers import log_ended_stream
 from croftchute.forwarding.decision_log import Decision
 from croftchute.forwarding.http.exchange import Exchange
 from croftchute.forwarding.http.held_answers import HeldAnswers
@@ -126,7 +126,7 @@
         self.held = HeldAnswers(
             memory_mb=settings.held_memory_mb,
             clock=state.clock,
-            on_ended=partial(note_ended, state),
+            on_ended=partial(log_ended_stream, state),
         )
         forwarder = Forwarder(state=state, usage_limits=self.usage_limits)
         self.ingress = HttpIngress(
--- a/src/croftchute/forwarding/callers/forwarder.py
+++ b/src/croftchute/forwarding/callers/forwarder.py
@@ -24,11 +24,13 @@
 the balancer sends new connections to them by then. As good as at once, but not a busy loop."""
 
 
-def stop_facts(arrival: Arrival, *, stop_began_at: float, now: float) -> dict[str, float | int]:
+def stopping_log_fields(
+    arrival: Arrival, *, stop_began_at: float, now: float
+) -> dict[str, float | int]:
     """How a request came to a box that stops, for the log.
 
     >>> arrival = Arrival(connected_at=1.0, begun_at=7.0, read_at=7.25, number=3)
-    >>> stop_facts(arrival, stop_began_at=4.0, now=8.0)["queued_ms"]
+    >>> stopping_log_fields(arrival, stop_began_at=4.0, now=8.0)["queued_ms"]
     750
     """
     return {
@@ -40,7 +42,7 @@
     }
 
 
-def identify(
+def identify_organisation(
     organisations: Organisations | None, key: KeyClaim, route: Route
 ) -> Organisation | None:
     """The organisation that a request belongs to; None if the request needs none.
@@ -80,7 +82,9 @@
         exchange.name(facts.id)
         if state.is_stopping:
             state.log.decide(
-                Decision.TAKEN_WHILE_STOPPING, request_id=facts.id, stop=self._stop_facts(exchange)
+                Decision.TAKEN_WHILE_STOPPING,
+                request_id=facts.id,
+                stop=self._stopping_log_fields(exchange),
             )
         table = state.table
         if table is None:
@@ -99,7 +103,7 @@
             self._refuse(exchange, facts.id, refusal)
             return
         try:
-            organisation = identify(table.organisations, facts.key, route)
+            organisation = identify_organisation(table.organisations, facts.key, route)
         except RequestError as error:
             refusal = Refusal(code=error.code, ran=Ran.NOT_RUN, detail=error.message)
             self._refuse(exchange, facts.id, refusal)
@@ -115,7 +119,7 @@
             service=pick_service(route, state.rng),
             started_at=started_at,
         )
-        if run.ends_workers:
+        if run.crashes_workers:
             # Refused at every box, before a worker reads it or a limit counts it: each further try
             # would cost the service a worker, and up to a dozen others' streams with it.
             run.refuse(Code.ENDS_WORKERS, Ran.NOT_RUN, "refused at arrival")
@@ -177,12 +181,12 @@
         )
         self._refuse(exchange, request_id, refusal)
 
-    def _stop_facts(self, exchange: Exchange) -> dict[str, float | int] | None:
+    def _stopping_log_fields(self, exchange: Exchange) -> dict[str, float | int] | None:
         stop_began_at = self.state.stop_began_at
         if stop_began_at is None:
             return None
         arrival = exchange.request.arrival
-        return stop_facts(arrival, stop_began_at=stop_began_at, now=self.state.clock())
+        return stopping_log_fields(arrival, stop_began_at=stop_began_at, now=self.state.clock())
 
     def _refuse(self, exchange: Exchange, request_id: str, refusal: Refusal) -> None:
         answer = self.state.callers.refuse(refusal, request_id)
@@ -197,5 +201,5 @@
             ran=refusal.ran.value,
             detail=refusal.detail,
             config_version=version,
-            stop=self._stop_facts(exchange),
+            stop=self._stopping_log_fields(exchange),
         )
--- a/src/croftchute/forwarding/callers/slow_callers.py
+++ b/src/croftchute/forwarding/callers/slow_callers.py
@@ -7,7 +7,7 @@
 from croftchute.systems.held_bytes import EndedStream
 
 
-def note_ended(state: ForwardingState, request_id: str, ended: EndedStream) -> None:
+def log_ended_stream(state: ForwardingState, request_id: str, ended: EndedStream) -> None:
     """Log and count one; all sizes are in bytes."""
     state.metrics.slow_callers.inc({})
     state.log.decide(
--- a/src/croftchute/forwarding/workers/answer_completion.py
+++ b/src/croftchute/forwarding/workers/answer_completion.py
@@ -18,6 +18,6 @@
         try:
             await within(exchange.flushed(), run.time_left_s, "caller did not read the answer")
         except AnswerLateError as error:
-            run.broken(error.message)
+            run.abort_answer(error.message)
             return
-    run.answered(status, worker)
+    run.record_answered(status, worker)
--- a/src/croftchute/forwarding/workers/chunk_reader.py
+++ b/src/croftchute/forwarding/workers/chunk_reader.py
@@ -29,37 +29,37 @@
         self.call = call
         self.first_chunk_timeout_s = first_chunk_timeout_s
         self.can_fail_over = can_fail_over
-        self._last_at: float | None = None
+        self._last_chunk_at: float | None = None
 
-    async def next(self) -> bytes:
-        """The next part, empty at the end; raises AnswerLateError or ConnectionBrokenError."""
+    async def read(self) -> bytes:
+        """The next chunk, empty at the end; raises AnswerLateError or ConnectionBrokenError."""
         run = self.run
         while True:
             try:
-                part = await self.call.part(self._wait_s())
+                chunk = await self.call.read_chunk(self._timeout_s())
             except AnswerLateError:
                 if run.time_left_s <= 0.0 or self.can_fail_over():
                     raise
                 continue
-            if part:
-                self._note_part()
-            return part
+            if chunk:
+                self._record_chunk()
+            return chunk
 
     def mark_resumed(self) -> None:
         """The worker was not read for a while: that is no pause of its own."""
-        if self._last_at is not None:
-            self._last_at = self.run.now
+        if self._last_chunk_at is not None:
+            self._last_chunk_at = self.run.now
 
-    def _wait_s(self) -> float:
+    def _timeout_s(self) -> float:
         run = self.run
-        if self._last_at is None:
+        if self._last_chunk_at is None:
             return min(self.first_chunk_timeout_s, run.time_left_s)
         return patience.gap_patience(
             run.route, time_left_s=run.time_left_s, pause_s=self.call.belief.pause_s
         )
 
-    def _note_part(self) -> None:
+    def _record_chunk(self) -> None:
         now = self.run.now
-        if self._last_at is not None:
-            self.run.state.workers.note_pause(self.call.worker.id, now - self._last_at)
-        self._last_at = now
+        if self._last_chunk_at is not None:
+            self.run.state.workers.note_pause(self.call.worker.id, now - self._last_chunk_at)
+        self._last_chunk_at = now
--- a/src/croftchute/forwarding/workers/completion_time_selector.py
+++ b/src/croftchute/forwarding/workers/completion_time_selector.py
@@ -66,25 +66,25 @@
         """The service whose workers are compared."""
         return self.request.service
 
-    def choose(self, candidates: Sequence[WorkerBelief]) -> tuple[WorkerBelief, ChoiceInput] | None:
+    def select(self, candidates: Sequence[WorkerBelief]) -> tuple[WorkerBelief, ChoiceInput] | None:
         """A plain or decode worker, drawn at random with the sooner ones more often.
 
         Of many candidates some are looked at, as in choices by cost.
         """
-        left = self._left(candidates)
+        left = self._without_avoided(candidates)
         if not left:
             return None
         rng = self.state.rng
         if len(left) > SAMPLE:
             affinity = self.request.facts.own_part if self.stage is Stage.DECODE else ""
             left = by_affinity(left, affinity)[:SAMPLE] if affinity else rng.sample(left, SAMPLE)
-        ends = self._ends(left)
+        ends = self._predict_ends(left)
         doubtful = {
             belief.worker.id
             for belief in left
             if predicted_end.is_doubtful(belief, self.around, self.state.clock())
         }
-        return self._chosen(left, ends, predicted_end.draw_by_end(ends, doubtful, rng))
+        return self._describe_choice(left, ends, predicted_end.draw_by_end(ends, doubtful, rng))
 
     async def select_prefill(
         self, candidates: Sequence[WorkerBelief], *, permit_request: PermitRequest | None
@@ -96,7 +96,7 @@
         """
         state = self.state
         left = predicted_end.without_doubtful(
-            self._left(candidates),
+            self._without_avoided(candidates),
             around=self.around,
             now=state.clock(),
             least=predicted_end.PREFILL_CANDIDATES,
@@ -114,14 +114,14 @@
             )
         if not loads_by_id:
             # By old news alone the soonest of three is the same one for too many boxes.
-            return self.choose(left)
-        ends = self._ends(drawn)
-        return self._chosen(drawn, ends, predicted_end.earliest(ends))
+            return self.select(left)
+        ends = self._predict_ends(drawn)
+        return self._describe_choice(drawn, ends, predicted_end.earliest(ends))
 
-    def _left(self, candidates: Sequence[WorkerBelief]) -> list[WorkerBelief]:
+    def _without_avoided(self, candidates: Sequence[WorkerBelief]) -> list[WorkerBelief]:
         return [belief for belief in candidates if belief.worker.id not in self.avoid]
 
-    def _chosen(
+    def _describe_choice(
         self, compared: list[WorkerBelief], ends: dict[str, PredictedEnd], worker_id: str
     ) -> tuple[WorkerBelief, ChoiceInput]:
         best = next(belief for belief in compared if belief.worker.id == worker_id)
@@ -133,11 +133,11 @@
         kind = WORK_KIND_BY_STAGE[self.stage]
         return self.state.paces.estimate(belief.worker.id, kind, self.state.clock())
 
-    def _ends(self, beliefs: list[WorkerBelief]) -> dict[str, PredictedEnd]:
+    def _predict_ends(self, beliefs: list[WorkerBelief]) -> dict[str, PredictedEnd]:
         usual = usual_times(self.state, self.service)
-        return {belief.worker.id: self._end(belief, usual) for belief in beliefs}
+        return {belief.worker.id: self._predict_end(belief, usual) for belief in beliefs}
 
-    def _end(self, belief: WorkerBelief, usual: UsualTimes) -> PredictedEnd:
+    def _predict_end(self, belief: WorkerBelief, usual: UsualTimes) -> PredictedEnd:
         state, now, around, pace = self.state, self.state.clock(), self.around, self._pace(belief)
         if self.stage is Stage.PREFILL:
             tokens = self.request.facts.prompt_tokens
@@ -166,7 +166,7 @@
         return predicted_end.plain_end(belief, usual_s=usual_s, around=around, pace=pace, now=now)
 
 
-def reading_times(
+def predict_reading_times(
     end: PredictedEnd, decode: WorkerBelief, *, state: ForwardingState, prompt_tokens: int
 ) -> ReadingTimes:
     """Until when a prompt is read ahead by the worker of an end, or by its decode worker."""
--- a/src/croftchute/forwarding/workers/crash_detection.py
+++ b/src/croftchute/forwarding/workers/crash_detection.py
@@ -12,14 +12,14 @@
 from croftchute.forwarding.state import ForwardingState
 from croftchute.tables.routing import Worker
 
-LOOK_S = 1.5
+CONNECT_PROBE_TIMEOUT_S = 1.5
 """Seconds until a connection must be up or refused: time for one lost packet to be sent again.
 Meanwhile the end is taken for likely, which only matters to requests that lost two workers."""
 
 MAX_LOGGED_DIGESTS = 16
 """Digests in one line: some more than a worker of eight slots runs for one box."""
 
-LIVES, ENDED, UNKNOWN, RESTARTED = "lives", "ended", "unknown", "restarted"
+ALIVE, ENDED, UNKNOWN, RESTARTED = "lives", "ended", "unknown", "restarted"
 """What a look at a worker finds."""
 
 
@@ -34,22 +34,22 @@
     now = state.clock()
     if belief.has_ended:
         state.crashes.note_doubt(digest, worker.id, now)
-        _settle(state, worker, RESTARTED, broke_at=now)
+        _record_outcome(state, worker, RESTARTED, broke_at=now)
         return
     if belief.gone_at is not None:
         return
     state.crashes.note_doubt(digest, worker.id, now)
     if worker.id not in state.lives_looked_at:
         state.lives_looked_at.add(worker.id)
-        state.spawn(_look(state, worker))
+        state.spawn(_probe_process(state, worker))
 
 
-async def _look(state: ForwardingState, worker: Worker) -> None:
+async def _probe_process(state: ForwardingState, worker: Worker) -> None:
     broke_at = state.clock()
-    outcome = LIVES
+    outcome = ALIVE
     try:
         connection = await open_connection(
-            worker.host, worker.port, LOOK_S, limits=state.pool.limits
+            worker.host, worker.port, CONNECT_PROBE_TIMEOUT_S, limits=state.pool.limits
         )
         belief = state.workers.beliefs_by_id.get(worker.id)
         if belief is None or belief.has_ended:
@@ -65,10 +65,12 @@
         outcome = UNKNOWN
     finally:
         state.lives_looked_at.discard(worker.id)
-    _settle(state, worker, outcome, broke_at=broke_at)
+    _record_outcome(state, worker, outcome, broke_at=broke_at)
 
 
-def _settle(state: ForwardingState, worker: Worker, outcome: str, *, broke_at: float) -> None:
+def _record_outcome(
+    state: ForwardingState, worker: Worker, outcome: str, *, broke_at: float
+) -> None:
     has_ended = outcome in (ENDED, RESTARTED)
     digests = state.crashes.settle(worker.id, ended_at=broke_at if has_ended else None)
     state.log.decide(
--- a/src/croftchute/forwarding/workers/decode_reservation.py
+++ b/src/croftchute/forwarding/workers/decode_reservation.py
@@ -17,7 +17,7 @@
     RequestUsage,
     RoomWaitPolicy,
 )
-from croftchute.forwarding.workers.worker_control import drop_hold, take_hold
+from croftchute.forwarding.workers.worker_control import acquire_hold, release_hold
 from croftchute.systems import patience
 from croftchute.systems.patience import ReturnWay
 from croftchute.systems.room_forecast import RoomWait
@@ -32,19 +32,20 @@
 class DecodeReservation:
     """Finds a decode worker with room for one request, and keeps its hold until it is used.
 
-    ``kept_at`` is the worker that may still keep the request's cache: it is asked first, once.
+    ``cached_worker_id`` is the worker that may still keep the request's cache: it is asked first,
+    once.
     ``code`` and ``detail`` say why the workers that were asked last had none.
     """
 
     def __init__(self, *, run: RequestRun) -> None:
         self.run = run
         self.hold: Hold | None = None
-        self.kept_at: str | None = None
+        self.cached_worker_id: str | None = None
         self.code: Code | None = None
         self.detail = ""
         self._has_tried_cached_worker = False
         self._permit_worker: Worker | None = None
-        self._use = RequestUsage(run=run)
+        self._usage = RequestUsage(run=run)
 
     async def reserve(self) -> tuple[WorkerBelief, ChoiceInput] | None:
         """A decode worker that keeps room for the request, waiting for a while if all are full."""
@@ -54,45 +55,49 @@
         is_begun = run.exchange.is_started
         asked_at = run.now
         is_last_ask = False
-        with closing(self._turn(is_begun=is_begun)) as turn:
+        with closing(self._wait_policy(is_begun=is_begun)) as policy:
             while True:
                 # Where there is no worker the request is refused for that, without a wait.
-                has_asked = is_last_ask or turn.may_ask(run.now) or not self._has_worker()
-                if has_asked and run.held_back:
+                has_asked = is_last_ask or policy.may_ask(run.now) or not self._has_worker()
+                if has_asked and run.is_held_back:
                     # It says no longer why the request has no room.
                     self.code, self.detail = None, ""
-                run.held_back = not has_asked
+                run.is_held_back = not has_asked
                 found = await self._ask_for_room() if has_asked else None
                 if found is not None:
                     if not is_begun:
                         run.state.demand(run.service).note_granted(run.now, is_large=run.is_large)
-                    turn.granted(run.now)
+                    policy.granted(run.now)
                     return found
                 # The one ask at the end does not change why the request had no room before.
-                run.held_back |= is_last_ask
-                if run.held_back:
+                run.is_held_back |= is_last_ask
+                if run.is_held_back:
                     self.code = Code.NO_CAPACITY
                     self.detail = "more urgent requests wait for room"
-                may_come = run.full or run.held_back or (is_begun and self._does_rest_end_soon())
-                if is_last_ask or not may_come:
+                may_get_room = (
+                    run.full_workers
+                    or run.is_held_back
+                    or (is_begun and self._does_rest_end_soon())
+                )
+                if is_last_ask or not may_get_room:
                     return None
                 if not self._may_wait(asked_at, is_begun=is_begun):
-                    if not turn.may_ask_finally():
+                    if not policy.may_ask_finally():
                         return None
                     is_last_ask = True
                     continue
-                pause_s = turn.pause_s(run.now)
+                pause_s = policy.pause_s(run.now)
                 await asyncio.sleep(pause_s)
-                turn.waited(pause_s, run.now)
-                run.full.clear()
+                policy.waited(pause_s, run.now)
+                run.full_workers.clear()
 
-    def _turn(self, *, is_begun: bool) -> RoomWaitPolicy:
+    def _wait_policy(self, *, is_begun: bool) -> RoomWaitPolicy:
         """How the request waits: a stream that has begun goes before all others."""
         run = self.run
         if not is_begun and run.is_ordered:
-            return RankedWait(run=run, use=self._use)
+            return RankedWait(run=run, usage=self._usage)
         pause_s = patience.room_poll(
-            run.route, run.state.ways.returns, before_s=run.before_s, is_begun=is_begun
+            run.route, run.state.ways.returns, before_s=run.earlier_tries_s, is_begun=is_begun
         )
         return PollingWait(history=run.state.room(run.service), poll_s=pause_s)
 
@@ -118,7 +123,9 @@
             elapsed_s=run.now - run.started_at,
             time_left_s=run.time_left_s,
             reading_s=pace.reading_s(run.facts.prompt_tokens),
-            before_s=run.before_s if run.state.ways.returns is ReturnWay.IN_TIME_FIRST else 0.0,
+            before_s=(
+                run.earlier_tries_s if run.state.ways.returns is ReturnWay.IN_TIME_FIRST else 0.0
+            ),
         )
         if wait.is_worthwhile(run.route, mean_wait_s=mean_wait_s):
             return True
@@ -138,9 +145,9 @@
         engine = run.engine
         if (
             engine is not None
-            and (in_place := await self._reserve_at_cached_worker(engine)) is not None
+            and (reserved := await self._reserve_at_cached_worker(engine)) is not None
         ):
-            return in_place
+            return reserved
         while True:
             found = run.choose(Stage.DECODE)
             if found is None:
@@ -151,8 +158,8 @@
                     return found
                 continue
             if found[0].full_until > run.now:
-                run.full.add(found[0].worker.id)
-                self._note_full(found[0])
+                run.full_workers.add(found[0].worker.id)
+                self._set_no_room(found[0])
                 continue
             if await self._reserve_if_permitted(*found, engine):
                 return found
@@ -161,10 +168,10 @@
         self, engine: EngineTraits
     ) -> tuple[WorkerBelief, ChoiceInput] | None:
         """Room at the worker that may still keep the request's cache."""
-        same = self._same_worker()
-        if same is None or not await self._reserve_if_permitted(*same, engine):
+        cached = self._find_cached_worker()
+        if cached is None or not await self._reserve_if_permitted(*cached, engine):
             return None
-        return same
+        return cached
 
     async def _reserve_if_permitted(
         self, belief: WorkerBelief, chosen: ChoiceInput, engine: EngineTraits
@@ -178,9 +185,9 @@
             self._release_permit()
         return is_held
 
-    def _same_worker(self) -> tuple[WorkerBelief, ChoiceInput] | None:
+    def _find_cached_worker(self) -> tuple[WorkerBelief, ChoiceInput] | None:
         """The worker that the stream ran at: if it lives, it still keeps the prompt's cache."""
-        worker_id, self.kept_at = self.kept_at, None
+        worker_id, self.cached_worker_id = self.cached_worker_id, None
         if worker_id is None or self._has_tried_cached_worker:
             return None
         self._has_tried_cached_worker = True
@@ -205,16 +212,18 @@
         )
         outcome = "granted"
         try:
-            self.hold = await take_hold(run.state, belief.worker, tokens, engine.hold_ttl_s)
+            self.hold = await acquire_hold(run.state, belief.worker, tokens, engine.hold_ttl_s)
             if self.hold is None:
                 outcome = "no_room"
-                run.full.add(belief.worker.id)
+                run.full_workers.add(belief.worker.id)
                 run.state.workers.note_full(belief.worker.id, run.now + patience.FULL_FOR_S)
-                self._note_full(belief)
+                self._set_no_room(belief)
         except ExchangeError as error:
             outcome = error.code.value
             # A late one may have room once its link is less busy: asked again like a full one.
-            (run.full if error.code is Code.UPSTREAM_SLOW else run.avoid).add(belief.worker.id)
+            (run.full_workers if error.code is Code.UPSTREAM_SLOW else run.avoid).add(
+                belief.worker.id
+            )
             run.state.workers.note_failure(belief.worker.id, 1.0, run.now)
             self.detail = error.message
         run.log(
@@ -239,7 +248,7 @@
         self._release_permit()
         if self.hold is not None:
             state = self.run.state
-            state.spawn(drop_hold(state, self.hold, self.run.facts.id))
+            state.spawn(release_hold(state, self.hold, self.run.facts.id))
             self.hold = None
 
     def _release_permit(self) -> None:
@@ -247,6 +256,6 @@
             self.run.state.permits.release(self._permit_worker)
             self._permit_worker = None
 
-    def _note_full(self, belief: WorkerBelief) -> None:
+    def _set_no_room(self, belief: WorkerBelief) -> None:
         self.code = Code.NO_CAPACITY
         self.detail = f"no room at {belief.worker.id} and others"
--- a/src/croftchute/forwarding/workers/load_and_pace.py
+++ b/src/croftchute/forwarding/workers/load_and_pace.py
@@ -17,7 +17,7 @@
 """The work whose time counts, by the stage of a worker."""
 
 
-def note_load(state: ForwardingState, worker: Worker, head: ResponseHead) -> None:
+def record_load(state: ForwardingState, worker: Worker, head: ResponseHead) -> None:
     """Take in the load and the pace that an answer's head tells, if any."""
     load = state.workers_speak.load(head)
     if load is None:
--- a/src/croftchute/forwarding/workers/plain_admission.py
+++ b/src/croftchute/forwarding/workers/plain_admission.py
@@ -29,7 +29,7 @@
 
 async def admit(run: RequestRun) -> Admission | None:
     """Decide on a plain call by fresh loads; None where there is no queue, or no news of it."""
-    service = _service(run)
+    service = _probed_service(run)
     if service is None or run.connect_failures:
         return None
     workers = [b for b in run.candidates(None) if b.worker.id not in run.avoid]
@@ -40,22 +40,24 @@
         run.state, service, asked, PROBE_TIMEOUT_S, permit_request=run.permit_request()
     )
     loads_by_id = {
-        belief.worker.id: load for belief in asked if (load := _load(run.state, belief)) is not None
+        belief.worker.id: load
+        for belief in asked
+        if (load := _fresh_load(run.state, belief)) is not None
     }
     work_s = run.state.work_times.usual_s(run.service)
     choice = plain_queue.place(
         loads_by_id,
         work_s=work_s,
-        target_left_s=run.route.target_s - run.before_s - (run.now - run.started_at),
+        target_left_s=run.route.target_s - run.earlier_tries_s - (run.now - run.started_at),
         time_left_s=run.time_left_s,
-        is_last_try=run.arrivals > 0 or plain_queue.has_come_back(run.route, run.before_s),
+        is_last_try=run.deliveries > 0 or plain_queue.has_come_back(run.route, run.earlier_tries_s),
     )
     if choice is None:
         return None
     if choice.is_refused:
         return Admission(choice=choice, found=None)
     belief = next(b for b in asked if b.worker.id == choice.worker_id)
-    end = _predicted(choice, loads_by_id[choice.worker_id], work_s)
+    end = _predicted_end(choice, loads_by_id[choice.worker_id], work_s)
     described = replace(run.describe(belief, candidates=len(loads_by_id)), end=end)
     return Admission(choice=choice, found=(belief, described))
 
@@ -66,7 +68,7 @@
     run.refuse(Code.NO_CAPACITY, Ran.NOT_RUN, f"{detail} and later at others")
 
 
-def _service(run: RequestRun) -> Service | None:
+def _probed_service(run: RequestRun) -> Service | None:
     """The service, if it is a plain one whose workers tell their load when they are asked."""
     state = run.state
     table = state.table
@@ -76,7 +78,7 @@
     return service if state.conditions.pressure or state.tells_pace(run.service) else None
 
 
-def _load(state: ForwardingState, belief: WorkerBelief) -> QueueLoad | None:
+def _fresh_load(state: ForwardingState, belief: WorkerBelief) -> QueueLoad | None:
     """What a worker told within the time of a probe."""
     now = state.clock()
     if now - belief.load_at > PROBE_TIMEOUT_S:
@@ -90,7 +92,7 @@
     )
 
 
-def _predicted(choice: PlainChoice, load: QueueLoad, work_s: float) -> PredictedEnd:
+def _predicted_end(choice: PlainChoice, load: QueueLoad, work_s: float) -> PredictedEnd:
     own_s = load.pace * work_s
     return PredictedEnd(
         wait_s=max(0.0, choice.end_s - own_s),
--- a/src/croftchute/forwarding/workers/plain_run.py
+++ b/src/croftchute/forwarding/workers/plain_run.py
@@ -33,7 +33,7 @@
 
 
 @dataclass(kw_only=True)
-class Progress:
+class PlainProgress:
     """What is known after some attempts: the last failure that a worker answered, and doubts."""
 
     last_answer: WholeAnswer | None = None
@@ -44,7 +44,7 @@
 
 async def run_plain(run: RequestRun) -> None:
     """Send the request until a worker answers it or its limits are reached."""
-    progress = Progress()
+    progress = PlainProgress()
     while run.time_left_s > 0.0:
         admission = await admit(run)
         if admission is not None and admission.found is None and not progress.may_have_run:
@@ -60,7 +60,7 @@
             break
         answer = await _attempt(run, *found, progress)
         if answer is not None:
-            await _hand_over(run, answer)
+            await _send_answer(run, answer)
             return
         if progress.may_have_run and not run.route.may_repeat:
             break
@@ -68,23 +68,23 @@
 
 
 async def _attempt(
-    run: RequestRun, belief: WorkerBelief, chosen: ChoiceInput, progress: Progress
+    run: RequestRun, belief: WorkerBelief, chosen: ChoiceInput, progress: PlainProgress
 ) -> WholeAnswer | None:
     send = Send(worker=belief.worker, time_left_s=run.time_left_s, priority=run.priority)
     call = WorkerCall(run=run, belief=belief, send=send, chosen=chosen)
     try:
         await call.open()
-        run.arrivals += 1
+        run.deliveries += 1
         run.workers_sent_to.add(belief.worker.id)
-        head = await call.head(_patience(run, belief))
-        return await _take(run, call, head, progress)
+        head = await call.read_head(_answer_timeout_s(run, belief))
+        return await _receive_answer(run, call, head, progress)
     except ConnectFailedError as error:
         run.connect_failures += 1
         run.state.permits.release(belief.worker)
-        call.failed(error)
+        call.record_failure(error)
         progress.code, progress.detail = error.code, error.message
     except ExchangeError as error:
-        call.failed(error)
+        call.record_failure(error)
         progress.may_have_run = True
         progress.code, progress.detail = error.code, error.message
     finally:
@@ -92,7 +92,7 @@
     return None
 
 
-def _patience(run: RequestRun, belief: WorkerBelief) -> float:
+def _answer_timeout_s(run: RequestRun, belief: WorkerBelief) -> float:
     if not run.route.may_repeat or len(run.workers_sent_to) >= run.route.max_attempts:
         return run.time_left_s
     return patience.answer_patience(
@@ -100,14 +100,14 @@
     )
 
 
-async def _take(
-    run: RequestRun, call: WorkerCall, head: ResponseHead, progress: Progress
+async def _receive_answer(
+    run: RequestRun, call: WorkerCall, head: ResponseHead, progress: PlainProgress
 ) -> WholeAnswer | None:
     speak = run.state.workers_speak
     verdict = speak.verdict(head)
-    body = await call.body(run.time_left_s)
+    body = await call.read_body(run.time_left_s)
     if verdict in (Verdict.NOT_RUN, Verdict.WRONG_WORKER):
-        call.rejected(verdict)
+        call.record_rejection(verdict)
         progress.code, progress.detail = Code.NO_CAPACITY, f"worker said {verdict.value}"
         return None
     if verdict is Verdict.ANSWERED and not speak.is_genuine(head):
@@ -119,12 +119,12 @@
         body=body,
     )
     if verdict is Verdict.FAILED:
-        call.faulty(head.status)
+        call.record_error_status(head.status)
         progress.may_have_run = True
         progress.last_answer = answer
         is_final = not run.route.may_repeat
         return answer if is_final and not _implies_not_run(answer) else None
-    call.succeeded()
+    call.record_success()
     return answer
 
 
@@ -133,16 +133,16 @@
     return answer.status in (408, 421, 429, 503)
 
 
-async def _hand_over(run: RequestRun, answer: WholeAnswer) -> None:
+async def _send_answer(run: RequestRun, answer: WholeAnswer) -> None:
     run.first_byte_at = run.now
     run.exchange.send(answer.status, answer.headers, answer.body)
     await finish_answer(run, answer.status, answer.worker)
 
 
-async def _give_up(run: RequestRun, progress: Progress) -> None:
+async def _give_up(run: RequestRun, progress: PlainProgress) -> None:
     last = progress.last_answer
     if last is not None and not _implies_not_run(last):
-        await _hand_over(run, last)
+        await _send_answer(run, last)
         return
     if not progress.may_have_run:
         run.refuse(progress.code, Ran.NOT_RUN, progress.detail)
--- a/src/croftchute/forwarding/workers/prompt_cache_lookup.py
+++ b/src/croftchute/forwarding/workers/prompt_cache_lookup.py
@@ -30,15 +30,17 @@
         return None
     usable = by_affinity(usable, part)[:MAX_WORKERS_QUERIED]
     answers = await asyncio.gather(*(_fetch_cached_tokens(run, belief, part) for belief in usable))
-    tokens, keeper = max(zip(answers, (b.worker.id for b in usable), strict=True), default=(0, ""))
+    tokens, worker_id = max(
+        zip(answers, (b.worker.id for b in usable), strict=True), default=(0, "")
+    )
     run.log(
         Decision.KEEPER_ASKED,
         outcome="found" if tokens > 0 else "none keeps it",
-        worker=keeper if tokens > 0 else "",
+        worker=worker_id if tokens > 0 else "",
         kept_tokens=tokens,
         workers_asked=len(usable),
     )
-    return keeper if tokens > 0 else None
+    return worker_id if tokens > 0 else None
 
 
 async def _fetch_cached_tokens(run: RequestRun, belief: WorkerBelief, part: str) -> int:
--- a/src/croftchute/forwarding/workers/prompt_prefill.py
+++ b/src/croftchute/forwarding/workers/prompt_prefill.py
@@ -11,7 +11,7 @@
     ExchangeError,
 )
 from croftchute.forwarding.workers.completion_time_selector import (
-    reading_times,
+    predict_reading_times,
     selects_by_completion_time,
 )
 from croftchute.forwarding.workers.load_and_pace import record_prefill_pace
@@ -24,7 +24,7 @@
 from croftchute.systems.worker_choice import ChoiceInput
 from croftchute.tables.routing import Stage
 
-MAX_TRIES = 2
+MAX_PREFILL_ATTEMPTS = 2
 """Prefill workers asked for one prompt: a second only if the first surely read nothing."""
 
 HANDLE_USABLE_FRACTION = 0.8
@@ -36,26 +36,26 @@
 
     def __init__(self, *, run: RequestRun) -> None:
         self.run = run
-        self.unused: PrefillHandle | None = None
-        self.keeper: str | None = None
+        self.unused_handle: PrefillHandle | None = None
+        self.cached_worker_id: str | None = None
         self._handle_expires_at = 0.0
-        self._has_begun = False
+        self._has_started = False
         self._rejections = 0
 
     async def prefill_for(self, decode: WorkerBelief) -> PrefillHandle | None:
         """A handle for a decode worker; None if that worker must read the prompt itself.
 
-        The decode worker itself reads where it keeps the prompt (``keeper``), or where that is
-        quicker. Else the prompt is read ahead, once; a handle that was not taken serves the next
-        decode worker as long as it is kept.
+        The decode worker itself reads where it keeps the prompt (``cached_worker_id``), or where
+        that is quicker. Else the prompt is read ahead, once; a handle that was not taken serves
+        the next decode worker as long as it is kept.
         """
         run = self.run
-        if decode.worker.id == self.keeper:
+        if decode.worker.id == self.cached_worker_id:
             return None
-        if self._has_begun or decode.worker.stage is None:
-            return self.unused if run.now < self._handle_expires_at else None
-        self._has_begun = True
-        for number in range(MAX_TRIES):
+        if self._has_started or decode.worker.stage is None:
+            return self.unused_handle if run.now < self._handle_expires_at else None
+        self._has_started = True
+        for number in range(MAX_PREFILL_ATTEMPTS):
             if run.crashes_prefill_workers:
                 run.log(Decision.READ_AT_DECODE, outcome="reading it ends workers")
                 return None
@@ -66,9 +66,9 @@
                 return None
             if not await run.acquire_permit(found[0]):
                 continue
-            refusals = self._rejections
-            handle = await self._read(*found)
-            if handle is not None or self._rejections == refusals:
+            rejections = self._rejections
+            handle = await self._prefill_at(*found)
+            if handle is not None or self._rejections == rejections:
                 return handle
         return None
 
@@ -81,25 +81,25 @@
         if not selects_by_completion_time(run.state, run.service):
             return run.choose(Stage.PREFILL, near=near)
         permit_request = run.permit_request() if may_probe else None
-        choice = run.end_choice(Stage.PREFILL, near=near)
-        return await choice.select_prefill(
+        selector = run.completion_time_selector(Stage.PREFILL, near=near)
+        return await selector.select_prefill(
             run.candidates(Stage.PREFILL), permit_request=permit_request
         )
 
-    def taken(self) -> None:
+    def mark_handle_used(self) -> None:
         """A decode worker has taken the handle."""
-        self.unused = None
+        self.unused_handle = None
 
-    def doubt(self) -> None:
+    def invalidate_handle(self) -> None:
         """A decode worker may have taken the handle: it serves no other one."""
         self._handle_expires_at = 0.0
 
     def release_unused_handle(self) -> None:
         """Free the handle if no decode worker took it."""
-        if self.unused is not None:
+        if self.unused_handle is not None:
             state = self.run.state
-            state.spawn(release_handle(state, self.unused, self.run.facts.id))
-            self.unused = None
+            state.spawn(release_handle(state, self.unused_handle, self.run.facts.id))
+            self.unused_handle = None
 
     def _may_retry(self) -> bool:
         """Whether another prefill worker may be asked, after one that surely read nothing."""
@@ -107,7 +107,7 @@
         if run.now - run.started_at > patience.prefill_retry_limit(run.route):
             return False
         leaves_attempt = len(run.workers_sent_to) + 1 < run.route.max_attempts
-        return run.arrivals == 0 or (leaves_attempt and run.spend_retry_budget())
+        return run.deliveries == 0 or (leaves_attempt and run.spend_retry_budget())
 
     def _reading_times(
         self, prefill: WorkerBelief, chosen: ChoiceInput, decode: WorkerBelief
@@ -115,7 +115,7 @@
         run = self.run
         tokens = run.facts.prompt_tokens
         if chosen.end is not None:
-            return reading_times(chosen.end, decode, state=run.state, prompt_tokens=tokens)
+            return predict_reading_times(chosen.end, decode, state=run.state, prompt_tokens=tokens)
         return ReadingTimes.predict(
             prompt_tokens=tokens,
             pace=run.state.prefill_pace(run.service),
@@ -143,7 +143,7 @@
         )
         return False
 
-    async def _read(self, belief: WorkerBelief, chosen: ChoiceInput) -> PrefillHandle | None:
+    async def _prefill_at(self, belief: WorkerBelief, chosen: ChoiceInput) -> PrefillHandle | None:
         run = self.run
         send = Send(
             worker=belief.worker,
@@ -160,13 +160,13 @@
         except ConnectFailedError as error:
             self._rejections += 1
             run.state.permits.release(belief.worker)
-            call.failed(error)
+            call.record_failure(error)
         except ExchangeError as error:
-            run.arrivals += 1
-            call.failed(error)
+            run.deliveries += 1
+            call.record_failure(error)
         except MessageError as error:
-            run.arrivals += 1
-            call.failed(ConnectionBrokenError(error.message))
+            run.deliveries += 1
+            call.record_failure(ConnectionBrokenError(error.message))
         finally:
             belief.queue.dropped(run.facts.id)
             call.close()
@@ -175,14 +175,14 @@
     async def _receive_handle(self, call: WorkerCall) -> PrefillHandle | None:
         run = self.run
         wait_s = patience.prefill_patience(run.route, time_left_s=run.time_left_s)
-        head = await call.head(wait_s)
-        body = await call.body(wait_s)
+        head = await call.read_head(wait_s)
+        body = await call.read_body(wait_s)
         verdict = run.state.workers_speak.verdict(head)
         if verdict is not Verdict.ANSWERED:
             self._record_rejection(call, verdict, head.status)
             return None
         handle = run.state.workers_speak.handle(body, call.worker)
-        call.succeeded()
+        call.record_success()
         taken_s = run.now - call.opened_at
         end = call.chosen.end
         working_s = taken_s - end.wait_s if end is not None and end.wait_s < taken_s else taken_s
@@ -192,16 +192,16 @@
         pace = run.state.prefill_pace(run.service)
         call.belief.queue.answered(run.facts.id, pace=pace, now=run.now)
         record_prefill_pace(run.state, call.worker, run.facts.prompt_tokens, working_s)
-        self.unused = handle
+        self.unused_handle = handle
         if run.engine is not None:
             self._handle_expires_at = run.now + HANDLE_USABLE_FRACTION * run.engine.handle_ttl_s
         return handle
 
     def _record_rejection(self, call: WorkerCall, verdict: Verdict, status: int) -> None:
-        self.run.arrivals += 1
+        self.run.deliveries += 1
         if verdict is Verdict.FAILED:
-            call.faulty(status)
+            call.record_error_status(status)
             return
         self.run.workers_sent_to.add(call.worker.id)
         self._rejections += 1
-        call.rejected(verdict)
+        call.record_rejection(verdict)
--- a/src/croftchute/forwarding/workers/queue_reporting.py
+++ b/src/croftchute/forwarding/workers/queue_reporting.py
@@ -41,13 +41,13 @@
     """Count a refusal of an ordered stream, if it was room that lacked."""
     if code is not Code.NO_CAPACITY or ran is not Ran.NOT_RUN or not run.is_ordered:
         return
-    if not run.held_back and not run.full:
+    if not run.is_held_back and not run.full_workers:
         return
     run.state.metrics.room_refusals.inc(
         {
             "service": run.service,
             "rank": str(run.rank),
-            "cause": HELD_BACK if run.held_back else NO_ROOM,
+            "cause": HELD_BACK if run.is_held_back else NO_ROOM,
         }
     )
 
--- a/src/croftchute/forwarding/workers/request_run.py
+++ b/src/croftchute/forwarding/workers/request_run.py
@@ -51,12 +51,14 @@
         if facts.time_left_s is not None:
             limit = min(limit, facts.time_left_s)
         self.deadline_at = started_at + limit
-        self.before_s = state.first_tries.time_before(route.name, facts.time_left_s, started_at)
-        self.arrivals = 0
+        self.earlier_tries_s = state.first_tries.time_before(
+            route.name, facts.time_left_s, started_at
+        )
+        self.deliveries = 0
         self.workers_sent_to: set[str] = set()
         self.avoid: set[str] = set()
-        self.full: set[str] = set()
-        self.held_back = False
+        self.full_workers: set[str] = set()
+        self.is_held_back = False
         self.is_counted_over_share = False
         self.connect_failures = 0
         self.first_byte_at: float | None = None
@@ -82,9 +84,9 @@
         return f"{self.digest}-read"
 
     @property
-    def ends_workers(self) -> bool:
+    def crashes_workers(self) -> bool:
         """Whether the request is refused as one that ends the workers that run it."""
-        return self._refused_s > 0.0
+        return self._crash_refusal_s > 0.0
 
     @property
     def crashes_prefill_workers(self) -> bool:
@@ -93,7 +95,7 @@
         return crashes.may_refuse and crashes.refused_s(self.prefill_digest, self.now) > 0.0
 
     @property
-    def _refused_s(self) -> float:
+    def _crash_refusal_s(self) -> float:
         crashes = self.state.crashes
         return crashes.refused_s(self.digest, self.now) if crashes.may_refuse else 0.0
 
@@ -155,7 +157,7 @@
     def target_left_s(self) -> float:
         """Seconds until an answer would be late that begins with the reading of the prompt."""
         reading_s = self.state.prefill_pace(self.service).reading_s(self.facts.prompt_tokens)
-        elapsed_s = self.before_s + self.now - self.started_at
+        elapsed_s = self.earlier_tries_s + self.now - self.started_at
         return self.route.target_s - elapsed_s - reading_s
 
     @property
@@ -175,11 +177,11 @@
         """A worker for the next sending, within the route's attempts; best in the zone ``near``."""
         candidates = self.candidates(stage)
         if selects_by_completion_time(self.state, self.service):
-            return self.end_choice(stage, near=near).choose(candidates)
+            return self.completion_time_selector(stage, near=near).select(candidates)
         return choose(
             candidates,
             around=self.surroundings(stage, near=near),
-            avoid=self.avoid | self.full,
+            avoid=self.avoid | self.full_workers,
             now=self.now,
             rng=self.state.rng,
             affinity=self.facts.own_part if stage is Stage.DECODE else "",
@@ -196,11 +198,13 @@
             candidates = [b for b in candidates if b.worker.id in self.workers_sent_to]
         return candidates
 
-    def end_choice(self, stage: Stage | None, *, near: str = "") -> CompletionTimeSelector:
+    def completion_time_selector(
+        self, stage: Stage | None, *, near: str = ""
+    ) -> CompletionTimeSelector:
         """A choice by predicted end for the next sending."""
         around = self.surroundings(stage, near=near)
         return CompletionTimeSelector(
-            request=self, stage=stage, around=around, avoid=self.avoid | self.full
+            request=self, stage=stage, around=around, avoid=self.avoid | self.full_workers
         )
 
     @property
@@ -220,7 +224,7 @@
             candidates,
             is_large_request=self.is_large,
             share=self.state.lane_share(self.service, engine.kv_tokens),
-            passed_over=self.avoid | self.full,
+            passed_over=self.avoid | self.full_workers,
         )
 
     def has_other_worker(self, stage: Stage | None) -> bool:
@@ -256,10 +260,12 @@
         usable = state.workers.usable(self.service, self.now, stage=worker.stage)
         others = [b for b in usable if b is not belief and b.worker.id not in self.avoid]
         wishes = state.workers.wishes
-        wish = wishes.told_by(worker.id, self.now)
-        asked = self.permit_request(calls=calls, patience_s=0.0 if others else self.time_left_s)
-        may_call = await state.permits.acquire(worker, asked)
-        if may_call and wishes.told_by(worker.id, self.now) != wish:
+        told_before = wishes.told_by(worker.id, self.now)
+        permit_request = self.permit_request(
+            calls=calls, patience_s=0.0 if others else self.time_left_s
+        )
+        may_call = await state.permits.acquire(worker, permit_request)
+        if may_call and wishes.told_by(worker.id, self.now) != told_before:
             # It said so while the permit was asked for: it is chosen anew, or another one.
             state.permits.release(worker, calls)
             return False
@@ -279,9 +285,9 @@
 
         Nothing is sent on that ends workers: another box may have seen the third one end meanwhile.
         """
-        if self.ends_workers:
+        if self.crashes_workers:
             return False
-        if self.arrivals == 0:
+        if self.deliveries == 0:
             return True
         window = self.state.budget(self.service)
         if window.spend(self.now, boxes=self.state.boxes):
@@ -302,7 +308,7 @@
             kind, request_id=self.facts.id, outcome=outcome, elapsed_ms=elapsed_ms, **inputs
         )
 
-    def answered(self, status: int, worker: str) -> None:
+    def record_answered(self, status: int, worker: str) -> None:
         """Log and count an answer that the caller has in whole."""
         now = self.now
         outcome = "ok" if status < 400 else f"status_{status}"
@@ -329,7 +335,7 @@
 
         ``expected_wait_s`` is when it will likely be served, if that is known.
         """
-        if self.ends_workers and ran is Ran.NOT_RUN:
+        if self.crashes_workers and ran is Ran.NOT_RUN:
             code, detail = Code.ENDS_WORKERS, self._crash_detail()
         self.has_not_run = ran is Ran.NOT_RUN
         lacks_worker = code in (Code.NO_UPSTREAM, Code.NO_CAPACITY) and ran is Ran.NOT_RUN
@@ -340,13 +346,15 @@
         if expected_wait_s is not None:
             retry_after_s = patience.return_after(expected_wait_s, spread=self.state.rng.random())
         elif code is Code.ENDS_WORKERS:
-            retry_after_s = round(self._refused_s, 3)
+            retry_after_s = round(self._crash_refusal_s, 3)
         elif code is Code.PROMPT_TOO_LONG:
             retry_after_s = patience.NEVER_FITS_RETRY_AFTER_S
         elif ran is Ran.NOT_RUN:
             retry_after_s = patience.retry_after(
                 self.time_left_s,
-                mean_wait_s=self.mean_room_wait_s if self.full or self.held_back else None,
+                mean_wait_s=(
+                    self.mean_room_wait_s if self.full_workers or self.is_held_back else None
+                ),
                 spread=self.state.rng.random(),
             )
         refusal = Refusal(code=code, ran=ran, detail=detail, retry_after_s=retry_after_s)
@@ -377,7 +385,7 @@
         lives = self.state.crashes.lives_ended(self.digest)
         return f"{lives} workers ended under this request of the same caller"
 
-    def broken(self, reason: str) -> None:
+    def abort_answer(self, reason: str) -> None:
         """Break a begun answer off, so that it cannot look whole."""
         self.exchange.abort()
         labels = {"route": self.route.name, "outcome": "broken"}
--- a/src/croftchute/forwarding/workers/room_wait_policy.py
+++ b/src/croftchute/forwarding/workers/room_wait_policy.py
@@ -81,37 +81,37 @@
 
     def __init__(self, *, run: RequestRun) -> None:
         self.run = run
-        self._name = run.facts.organisation
+        self._organisation = run.facts.organisation
         self._tokens = run.facts.prompt_tokens + run.facts.likely_output
         self._asked_at: float | None = None
         self._has_room = False
 
     def asked(self, now: float) -> None:
         """The request asks for room."""
-        if self._name and self._asked_at is None:
+        if self._organisation and self._asked_at is None:
             self._asked_at = now
             use = self.run.state.organisation_use(self.run.service)
-            use.note_asked(self._name, self._tokens, now)
+            use.note_asked(self._organisation, self._tokens, now)
 
     def granted(self, now: float) -> None:
         """The request got room."""
         if self._asked_at is not None and not self._has_room:
             self._has_room = True
             use = self.run.state.organisation_use(self.run.service)
-            use.note_granted(self._name, self._tokens, now, waited_s=now - self._asked_at)
+            use.note_granted(self._organisation, self._tokens, now, waited_s=now - self._asked_at)
 
 
 class RankedWait:
     """Asks the more often the more urgent it is, and leaves room to more urgent requests."""
 
-    def __init__(self, *, run: RequestRun, use: RequestUsage) -> None:
+    def __init__(self, *, run: RequestRun, usage: RequestUsage) -> None:
         self.run = run
-        self.use = use
+        self.usage = usage
         self.room = run.state.ranked_room(run.service)
         self._rank: int | None = None
         self._had_last_chance = False
         self._has_asked = False
-        use.asked(run.now)
+        usage.asked(run.now)
 
     def may_ask(self, now: float) -> bool:
         """Whether no more urgent rank waits too long; once, before it is late, all the same."""
@@ -153,7 +153,7 @@
         """Counts for the forecast only after a wait."""
         if self._rank is not None:
             self.room.note_granted(self._rank, now)
-        self.use.granted(now)
+        self.usage.granted(now)
 
     def close(self) -> None:
         """It is not among those that wait any more."""
--- a/src/croftchute/forwarding/workers/stage_coordinator.py
+++ b/src/croftchute/forwarding/workers/stage_coordinator.py
@@ -23,7 +23,7 @@
 from croftchute.systems.worker_belief import WorkerBelief
 from croftchute.tables.routing import EngineTraits, RoutingTable, Service, Stage
 
-CHECK_S = 0.5
+CHECK_INTERVAL_S = 0.5
 """Seconds between two looks at what is wanted."""
 
 MAX_FIRST_TRY_DELAY_S = 4.0
@@ -31,13 +31,13 @@
 
 LEASE_KEY = "croftchute/stage-orders"
 
-TAKEN = frozenset({200, 202})
+SUCCESS_STATUSES = frozenset({200, 202})
 """Statuses of an order that is carried out, or was before."""
 
 LEASE_TTL_S = 6.0
 """Two renewals may be lost before the lease lapses."""
 
-RENEW_S = 2.0
+LEASE_RENEW_INTERVAL_S = 2.0
 """Seconds between renewals of the lease."""
 
 QUIET_MARGIN_S = 1.5
@@ -46,7 +46,7 @@
 MAX_LEASE_CHECK_S = 0.3
 """Longest time between asking whether the lease is held and giving an order by the answer."""
 
-COOL_DOWN_S = 3.0
+RETRY_DELAY_S = 3.0
 """Seconds between two tries for the lease, and after a failed call."""
 
 BATCH_INTERVAL_S = 1.0
@@ -59,14 +59,14 @@
 """Seconds for which an order counts as on its way: one that got no answer may be carried out 12 s
 later, and the list tells of it some seconds after."""
 
-LASTS_S = 0.4
+MIN_NEED_S = 0.4
 """Seconds for which a change to decode must have been wanted."""
 
 MIN_PREFILL_NEED_S = 5.0
 """The same for a change to prefill: a prefill worker that crashed is mostly back within 5 s. With
 ``headroom`` for both: a change that a crash caused cannot be undone soon."""
 
-ACCEPTED = 202
+STATUS_ACCEPTED = 202
 """Status of an order that the worker has begun to carry out: it takes no work until it is done."""
 
 STAGE_CHANGE_MARGIN_S = 2.5
@@ -78,20 +78,20 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Turn:
+class HeldLease:
     """The time in which this box alone may give orders; ``token`` fences them."""
 
     token: int
-    lease: int
-    since: float
+    lease_id: int
+    acquired_at: float
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class _Order:
+class _PendingOrder:
     """An order that is on its way, until the list shows it or it surely came to nothing."""
 
     stage: Stage
-    at: float
+    sent_at: float
 
 
 class StageCoordinator:
@@ -108,11 +108,11 @@
         self.state = state
         self.store = store
         self.may_acquire_lease = may_acquire_lease
-        self.quiet_s = holder_gap_s + QUIET_MARGIN_S
-        self.turn: Turn | None = None
+        self.quiet_period_s = holder_gap_s + QUIET_MARGIN_S
+        self.held_lease: HeldLease | None = None
         self._next_try_at = 0.0
         self._renew_at = 0.0
-        self._pending_orders: dict[str, _Order] = {}
+        self._pending_orders: dict[str, _PendingOrder] = {}
         self._need_seen_by_change: dict[tuple[str, Stage], tuple[float, float]] = {}
         self._headroom_by_service: dict[str, StageHeadroom] = {}
 
@@ -123,26 +123,26 @@
         )
         is_first = True
         while True:
-            await asyncio.sleep(CHECK_S * self.state.rng.uniform(0.8, 1.2))
+            await asyncio.sleep(CHECK_INTERVAL_S * self.state.rng.uniform(0.8, 1.2))
             if self.state.is_stopping:
                 continue
             # What is wanted takes 0.6 ms to work out: boxes that could not order it leave it be.
-            may_order = self.turn is not None or self.may_acquire_lease()
-            changes = self.wanted() if may_order else []
+            may_order = self.held_lease is not None or self.may_acquire_lease()
+            changes = self.find_changes() if may_order else []
             try:
-                if self.turn is None:
+                if self.held_lease is None:
                     is_first = await self._try_acquire_lease(
                         is_first=is_first, is_needed=bool(changes)
                     )
                 else:
-                    await self._use_lease(self.turn, changes)
+                    await self._use_lease(self.held_lease, changes)
             except (StoreError, ExchangeError) as error:
-                self._next_try_at = self.state.clock() + COOL_DOWN_S
+                self._next_try_at = self.state.clock() + RETRY_DELAY_S
                 self.state.log.decide(
                     Decision.STAGE_ORDER, outcome=error.code.value, detail=error.message
                 )
 
-    def wanted(self) -> list[StageChange]:
+    def find_changes(self) -> list[StageChange]:
         """The changes that some service needs, as this box sees it."""
         table = self.state.table
         if table is None:
@@ -150,12 +150,12 @@
         for service in table.services_by_name.values():
             if service.engine is None:
                 continue
-            changes = self._changes(table, service, service.engine)
+            changes = self._find_service_changes(table, service, service.engine)
             if changes and self._is_sustained(changes[0]):
                 return changes[:MAX_BATCH_SIZE]
         return []
 
-    def _changes(
+    def _find_service_changes(
         self, table: RoutingTable, service: Service, traits: EngineTraits
     ) -> list[StageChange]:
         """The changes that one service needs at the moment."""
@@ -173,7 +173,7 @@
                 pace=pace,
                 traits=traits,
                 paces=self.state.paces,
-                ordered=_changing(beliefs, now) | ordered,
+                ordered=_announced_stages(beliefs, now) | ordered,
                 now=now,
             )
         power = EnginePower(
@@ -222,7 +222,7 @@
         for worker_id, order in list(self._pending_orders.items()):
             belief = beliefs_by_id.get(worker_id)
             is_done = belief is None or belief.worker.stage is order.stage
-            if is_done or now - order.at > MAX_ORDER_PENDING_S:
+            if is_done or now - order.sent_at > MAX_ORDER_PENDING_S:
                 del self._pending_orders[worker_id]
         return {worker_id: order.stage for worker_id, order in self._pending_orders.items()}
 
@@ -240,7 +240,7 @@
         """For how long a change must have been wanted, in seconds."""
         is_patient = self.split_way(change.worker.service) is SplitWay.HEADROOM
         if change.is_urgent or (change.stage is Stage.DECODE and not is_patient):
-            return LASTS_S
+            return MIN_NEED_S
         return MIN_PREFILL_NEED_S
 
     async def _try_acquire_lease(self, *, is_first: bool, is_needed: bool) -> bool:
@@ -251,55 +251,65 @@
         now = self.state.clock()
         if now < self._next_try_at or not (is_first or is_needed) or not self.may_acquire_lease():
             return is_first
-        self._next_try_at = now + COOL_DOWN_S
+        self._next_try_at = now + RETRY_DELAY_S
         if await self.store.item(LEASE_KEY) is not None:
             return False
-        lease = await self.store.grant_lease(LEASE_TTL_S)
+        lease_id = await self.store.grant_lease(LEASE_TTL_S)
         value = self.state.box.encode()
-        token = await self.store.put_if(LEASE_KEY, value, revision=0, lease=lease)
+        token = await self.store.put_if(LEASE_KEY, value, revision=0, lease=lease_id)
         if token is not None:
-            self.turn = Turn(token=token, lease=lease, since=self.state.clock())
-            self._renew_at = self.turn.since + RENEW_S
+            self.held_lease = HeldLease(
+                token=token, lease_id=lease_id, acquired_at=self.state.clock()
+            )
+            self._renew_at = self.held_lease.acquired_at + LEASE_RENEW_INTERVAL_S
             self.state.log.decide(Decision.STAGE_ORDER, outcome="lease_taken", token=token)
         return False
 
-    async def _use_lease(self, turn: Turn, changes: list[StageChange]) -> None:
+    async def _use_lease(self, held_lease: HeldLease, changes: list[StageChange]) -> None:
         now = self.state.clock()
         if now >= self._renew_at:
-            self._renew_at = now + RENEW_S
-            if not await self.store.keep_lease(turn.lease):
-                self._drop_lease(turn)
+            self._renew_at = now + LEASE_RENEW_INTERVAL_S
+            if not await self.store.keep_lease(held_lease.lease_id):
+                self._drop_lease(held_lease)
                 return
-        if not changes or now - turn.since < self.quiet_s or now < self._next_try_at:
+        if (
+            not changes
+            or now - held_lease.acquired_at < self.quiet_period_s
+            or now < self._next_try_at
+        ):
             return
         self._next_try_at = now + BATCH_INTERVAL_S
-        await self._send_orders(turn, changes)
+        await self._send_orders(held_lease, changes)
 
-    async def _send_orders(self, turn: Turn, changes: list[StageChange]) -> None:
+    async def _send_orders(self, held_lease: HeldLease, changes: list[StageChange]) -> None:
         """Give orders, if the lease is surely still held."""
         now = self.state.clock()
         item = await self.store.item(LEASE_KEY)
-        if item is None or item.revision != turn.token:
-            self._drop_lease(turn)
+        if item is None or item.revision != held_lease.token:
+            self._drop_lease(held_lease)
             return
         if self.state.clock() - now > MAX_LEASE_CHECK_S:
-            self._log("verified_too_late", changes[0], turn)
+            self._log("verified_too_late", changes[0], held_lease)
             return
-        await asyncio.gather(*(self._order(turn, change) for change in changes))
+        await asyncio.gather(*(self._send_order(held_lease, change) for change in changes))
 
-    async def _order(self, turn: Turn, change: StageChange) -> None:
+    async def _send_order(self, held_lease: HeldLease, change: StageChange) -> None:
         """Give one order, and count it as on its way unless the worker refused it."""
         worker_id = change.worker.id
-        order = _Order(stage=change.stage, at=self.state.clock())
+        order = _PendingOrder(stage=change.stage, sent_at=self.state.clock())
         self._pending_orders[worker_id] = order
         try:
             status = await send_stage_order(
-                self.state, change.worker, change.stage, holder=self.state.box, token=turn.token
+                self.state,
+                change.worker,
+                change.stage,
+                holder=self.state.box,
+                token=held_lease.token,
             )
             outcome = f"status_{status}"
-            if status not in TAKEN:
+            if status not in SUCCESS_STATUSES:
                 del self._pending_orders[worker_id]
-            if status == ACCEPTED:
+            if status == STATUS_ACCEPTED:
                 self._note_changing(change)
         except ConnectFailedError as error:
             del self._pending_orders[worker_id]
@@ -309,8 +319,8 @@
             outcome = error.code.value
         headroom = self._headroom_by_service.get(change.worker.service)
         if headroom is not None and worker_id in self._pending_orders:
-            headroom.note_ordered(worker_id, change.stage, order.at)
-        self._log(outcome, change, turn)
+            headroom.note_ordered(worker_id, change.stage, order.sent_at)
+        self._log(outcome, change, held_lease)
 
     def _note_changing(self, change: StageChange) -> None:
         """Give the worker no work until it has changed; peers hear of it in notices."""
@@ -324,27 +334,27 @@
 
     def note_restored(self) -> None:
         """The store came back from an older copy: a lease that it granted before is not held."""
-        if self.turn is not None:
-            self._drop_lease(self.turn)
+        if self.held_lease is not None:
+            self._drop_lease(self.held_lease)
 
-    def _drop_lease(self, turn: Turn) -> None:
-        self.turn = None
-        self.state.log.decide(Decision.STAGE_ORDER, outcome="lease_lost", token=turn.token)
+    def _drop_lease(self, held_lease: HeldLease) -> None:
+        self.held_lease = None
+        self.state.log.decide(Decision.STAGE_ORDER, outcome="lease_lost", token=held_lease.token)
 
-    def _log(self, outcome: str, change: StageChange, turn: Turn) -> None:
+    def _log(self, outcome: str, change: StageChange, held_lease: HeldLease) -> None:
         self.state.log.decide(
             Decision.STAGE_ORDER,
             outcome=outcome,
             worker=change.worker.id,
             stage=change.stage.value,
             reason=change.reason,
-            token=turn.token,
-            held_s=round(self.state.clock() - turn.since, 1),
+            token=held_lease.token,
+            held_s=round(self.state.clock() - held_lease.acquired_at, 1),
             workers_age_s=round(self.state.clock() - self.state.workers.heard_at, 2),
         )
 
 
-def _changing(beliefs: list[WorkerBelief], now: float) -> dict[str, Stage]:
+def _announced_stages(beliefs: list[WorkerBelief], now: float) -> dict[str, Stage]:
     """The stages that workers are about to have, by notices: another box gave their orders."""
     return {
         belief.worker.id: belief.changing_to
--- a/src/croftchute/forwarding/workers/stream_run.py
+++ b/src/croftchute/forwarding/workers/stream_run.py
@@ -39,9 +39,9 @@
     """
 
     last_event: int | None
-    events: int = 0
+    event_count: int = 0
     may_have_run: bool = False
-    is_whole: bool = False
+    is_complete: bool = False
     is_answered: bool = False
     code: Code = Code.NO_UPSTREAM
     detail: str = "no worker is known to be usable"
@@ -55,27 +55,27 @@
     def __init__(self, *, run: RequestRun) -> None:
         self.run = run
         self.progress = StreamProgress(last_event=run.facts.resume_after)
-        self.reader = PromptPrefill(run=run)
-        self.room = DecodeReservation(run=run)
+        self.prefill = PromptPrefill(run=run)
+        self.reservation = DecodeReservation(run=run)
 
     async def serve(self) -> None:
         """Run the stream to its end, or give it up."""
         try:
-            await self._attempts()
+            await self._run_attempts()
         finally:
-            self._free_unused()
+            self._release_unused()
         progress = self.progress
         if progress.is_answered:
             return
-        if progress.is_whole:
+        if progress.is_complete:
             self.run.exchange.finish()
             await finish_answer(self.run, 200, progress.serving_worker)
         elif self.run.exchange.is_started:
-            self.run.broken(progress.detail)
+            self.run.abort_answer(progress.detail)
         else:
             self._refuse()
 
-    async def _attempts(self) -> None:
+    async def _run_attempts(self) -> None:
         run = self.run
         facts = run.facts
         engine = run.engine
@@ -92,16 +92,18 @@
             is_large=run.is_large,
         )
         if facts.resume_after is not None:
-            self.reader.keeper = self.room.kept_at = await find_cached_worker(run)
-        while run.time_left_s > 0.0 and not self._is_over():
-            found = await self.room.reserve()
-            self._note_room()
+            self.prefill.cached_worker_id = self.reservation.cached_worker_id = (
+                await find_cached_worker(run)
+            )
+        while run.time_left_s > 0.0 and not self._is_finished():
+            found = await self.reservation.reserve()
+            self._note_refusal_cause()
             if found is None:
                 return
-            source = await self.reader.prefill_for(found[0])
+            source = await self.prefill.prefill_for(found[0])
             if run.state.workers.wishes.rest_left_s(found[0].worker.id, run.now) > 0.0:
                 # It asked for rest while the prompt was read: its room is left for another's.
-                self.room.release_unused()
+                self.reservation.release_unused()
                 continue
             if len(run.workers_sent_to) >= run.route.max_attempts and (
                 found[0].worker.id not in run.workers_sent_to
@@ -112,9 +114,9 @@
                 return
             await self._decode(*found, source)
 
-    def _is_over(self) -> bool:
+    def _is_finished(self) -> bool:
         progress = self.progress
-        if progress.is_whole or progress.is_answered or self.run.ends_workers:
+        if progress.is_complete or progress.is_answered or self.run.crashes_workers:
             return True
         return progress.may_have_run and not self.run.route.may_repeat
 
@@ -123,16 +125,16 @@
         run = self.run
         return run.state.workers.rest_left_s(run.service, run.now, stage=Stage.PREFILL) > 0.0
 
-    def _note_room(self) -> None:
+    def _note_refusal_cause(self) -> None:
         """Keep why no worker had room, for the caller's answer if none is found."""
-        if self.room.code is not None:
-            self.progress.code = self.room.code
-        if self.room.detail:
-            self.progress.detail = self.room.detail
+        if self.reservation.code is not None:
+            self.progress.code = self.reservation.code
+        if self.reservation.detail:
+            self.progress.detail = self.reservation.detail
 
-    def _free_unused(self) -> None:
-        self.reader.release_unused_handle()
-        self.room.release_unused()
+    def _release_unused(self) -> None:
+        self.prefill.release_unused_handle()
+        self.reservation.release_unused()
 
     # Decode.
 
@@ -146,20 +148,20 @@
             time_left_s=run.time_left_s,
             priority=run.rank,
             source=source,
-            hold=self.room.hold,
+            hold=self.reservation.hold,
             resume_after=progress.last_event,
         )
         call = WorkerCall(run=run, belief=belief, send=send, chosen=chosen)
         try:
             await call.open()
-            self.room.mark_used()
-            run.arrivals += 1
+            self.reservation.mark_used()
+            run.deliveries += 1
             run.workers_sent_to.add(belief.worker.id)
-            await self._take(call, source)
+            await self._receive_answer(call, source)
         except ConnectFailedError as error:
-            self.room.release_unused()
+            self.reservation.release_unused()
             run.connect_failures += 1
-            call.failed(error)
+            call.record_failure(error)
             progress.code, progress.detail = error.code, error.message
         except CallerSlowError as error:
             progress.may_have_run = True
@@ -167,38 +169,38 @@
             progress.code, progress.detail = error.code, error.message
         except ExchangeError as error:
             progress.may_have_run = True
-            self.reader.doubt()
-            call.failed(error)
+            self.prefill.invalidate_handle()
+            call.record_failure(error)
             progress.code, progress.detail = error.code, error.message
             if error.code is Code.UPSTREAM_FAILED:
-                self.room.kept_at = belief.worker.id
+                self.reservation.cached_worker_id = belief.worker.id
         finally:
             call.close()
 
-    async def _take(self, call: WorkerCall, source: PrefillHandle | None) -> None:
+    async def _receive_answer(self, call: WorkerCall, source: PrefillHandle | None) -> None:
         run = self.run
         wait_s = run.time_left_s
         if self._can_fail_over():
             wait_s = self._first_event_timeout_s(source)
-        head = await call.head(wait_s)
+        head = await call.read_head(wait_s)
         verdict = run.state.workers_speak.verdict(head)
         if verdict is Verdict.ANSWERED:
             if not run.state.workers_speak.is_genuine(head):
                 raise ConnectionBrokenError("a success without the worker's proof")
-            self.reader.taken()
-            await self._pass_on(call, head, wait_s)
+            self.prefill.mark_handle_used()
+            await self._relay_stream(call, head, wait_s)
             return
-        body = await call.body(run.time_left_s)
+        body = await call.read_body(run.time_left_s)
         if verdict is Verdict.FAILED:
             self._handle_failure(call, head, body)
             return
         self.progress.code = Code.NO_CAPACITY
         self.progress.detail = f"worker said {verdict.value}"
         if source is not None and verdict is Verdict.NOT_RUN:
-            call.lacked(source)
-            self._free_unused()
+            call.record_cache_fetch_failure(source)
+            self._release_unused()
         else:
-            call.rejected(verdict)
+            call.record_rejection(verdict)
 
     def _first_event_timeout_s(self, source: PrefillHandle | None) -> float:
         run = self.run
@@ -219,7 +221,7 @@
         return run.route.may_repeat and has_attempts and run.has_other_worker(Stage.DECODE)
 
     def _handle_failure(self, call: WorkerCall, head: ResponseHead, body: bytes) -> None:
-        call.faulty(head.status)
+        call.record_error_status(head.status)
         progress = self.progress
         progress.may_have_run = True
         progress.code = Code.UPSTREAM_FAILED
@@ -230,35 +232,35 @@
             return
         headers = self.run.state.workers_speak.answer_headers(head)
         self.run.exchange.send(head.status, headers, body)
-        self.run.answered(head.status, call.worker.id)
+        self.run.record_answered(head.status, call.worker.id)
         progress.is_answered = True
 
-    async def _pass_on(
+    async def _relay_stream(
         self, call: WorkerCall, head: ResponseHead, first_chunk_timeout_s: float
     ) -> None:
         run = self.run
         progress = self.progress
         splitter = EventSplitter()
         is_resumed = progress.last_event is not None
-        parts = ChunkReader(
+        chunks = ChunkReader(
             run=run,
             call=call,
             first_chunk_timeout_s=first_chunk_timeout_s,
             can_fail_over=self._can_fail_over,
         )
-        while part := await parts.next():
-            events = splitter.feed(part)
+        while chunk := await chunks.read():
+            events = splitter.feed(chunk)
             if events:
-                await self._write(call, head, events)
+                await self._write_events(call, head, events)
                 if self.run.exchange.is_bounded and self.run.exchange.is_held_up:
                     await call.wait_for_caller()
-                    parts.mark_resumed()
+                    chunks.mark_resumed()
         if splitter.leftover:
             raise ConnectionBrokenError("stream ended inside an event")
         if not run.exchange.is_started:
-            self._start(call, head)
-        call.succeeded()
-        progress.is_whole = True
+            self._start_answer(call, head)
+        call.record_success()
+        progress.is_complete = True
         if not is_resumed and run.first_byte_at is not None:
             run.state.demand(run.service).note_ended(
                 run.now,
@@ -266,7 +268,9 @@
                 seconds=run.now - run.first_byte_at,
             )
 
-    async def _write(self, call: WorkerCall, head: ResponseHead, events: list[StreamEvent]) -> None:
+    async def _write_events(
+        self, call: WorkerCall, head: ResponseHead, events: list[StreamEvent]
+    ) -> None:
         progress = self.progress
         data: list[bytes] = []
         for event in events:
@@ -275,16 +279,16 @@
                 if last is not None and event.number <= last:
                     raise ConnectionBrokenError(f"event {event.number} after event {last}")
                 progress.last_event = event.number
-            progress.events += 1
+            progress.event_count += 1
             data.append(event.data)
         if not self.run.exchange.is_started:
-            self._start(call, head)
+            self._start_answer(call, head)
         exchange = self.run.exchange
         exchange.write(b"".join(data))
         if exchange.is_held_up and not exchange.is_bounded:
             await within(exchange.drained(), self.run.time_left_s, "caller did not read")
 
-    def _start(self, call: WorkerCall, head: ResponseHead) -> None:
+    def _start_answer(self, call: WorkerCall, head: ResponseHead) -> None:
         run = self.run
         run.first_byte_at = run.now
         self.progress.serving_worker = call.worker.id
@@ -319,5 +323,5 @@
     except asyncio.CancelledError:
         has_left = run.exchange.caller_has_left and not run.exchange.is_cut_off
         kind = Decision.CALLER_LEFT if has_left else Decision.REQUEST_BROKEN
-        run.log(kind, events=stream.progress.events, worker=run.last_worker)
+        run.log(kind, events=stream.progress.event_count, worker=run.last_worker)
         raise
--- a/src/croftchute/forwarding/workers/worker_call.py
+++ b/src/croftchute/forwarding/workers/worker_call.py
@@ -11,9 +11,9 @@
 from croftchute.forwarding.http.failures import AnswerLateError, CallerSlowError, ExchangeError
 from croftchute.forwarding.http.http_client import ClientConnection, ResponseHead
 from croftchute.forwarding.workers.crash_detection import check_after_broken_answer
-from croftchute.forwarding.workers.load_and_pace import note_load, record_answer_pace
+from croftchute.forwarding.workers.load_and_pace import record_answer_pace, record_load
 from croftchute.forwarding.workers.request_run import RequestRun
-from croftchute.forwarding.workers.worker_signals import note_displaced, record_signals
+from croftchute.forwarding.workers.worker_signals import record_displaced, record_signals
 from croftchute.systems import patience
 from croftchute.systems.worker_belief import WorkerBelief
 from croftchute.systems.worker_choice import ChoiceInput
@@ -21,25 +21,25 @@
 MAX_ANSWER_BYTES = 16 << 20
 """Longest whole answer in bytes: four times the longest body of a caller."""
 
-WEIGHT_CONNECT = 2.0
+FAILURE_SCORE_CONNECT = 2.0
 """Failure score of a connection that did not come up: the worker is likely gone."""
 
-WEIGHT_BROKEN = 1.0
+FAILURE_SCORE_BROKEN = 1.0
 """Failure score of an answer that broke off."""
 
-WEIGHT_LATE = 1.0
+FAILURE_SCORE_LATE = 1.0
 """Failure score of an answer that did not come in time."""
 
-WEIGHT_REJECTED = 0.5
+FAILURE_SCORE_REJECTED = 0.5
 """Failure score of a request that the worker did not run: it is full, or leaving."""
 
-WEIGHT_DISPLACED = 4.0
+FAILURE_SCORE_DISPLACED = 4.0
 """Failure score of an address at which another worker answered: for peers to hear of."""
 
-WEIGHT_FAILED = 0.3
+FAILURE_SCORE_FAILED = 0.3
 """Failure score of a worker's own failure: some requests fail at any worker."""
 
-WEIGHT_LACKED = 1.0
+FAILURE_SCORE_CACHE_NOT_FETCHED = 1.0
 """Failure score of a source whose cache could not be fetched."""
 
 
@@ -62,12 +62,12 @@
         self._is_counted = False
 
     @property
-    def _digest(self) -> str:
+    def _crash_digest(self) -> str:
         """What an end of the worker is held against: the request, or the reading of its prompt."""
         return self.run.prefill_digest if self.send.is_prefill else self.run.digest
 
     @property
-    def _call(self) -> str:
+    def _call_kind(self) -> str:
         """What was asked of the worker, for logs and metrics."""
         return "prompt" if self.send.is_prefill else "request"
 
@@ -126,20 +126,20 @@
             **(self.chosen.end.log_facts() if self.chosen.end is not None else {}),
         )
 
-    async def head(self, timeout_s: float) -> ResponseHead:
+    async def read_head(self, timeout_s: float) -> ResponseHead:
         """The head of the answer; raises AnswerLateError or ConnectionBrokenError."""
         assert self.connection is not None
         head = await within(self.connection.read_head(), timeout_s, "no head")
-        record_signals(self.run.state, self.worker, head, call=self._call)
-        note_load(self.run.state, self.worker, head)
+        record_signals(self.run.state, self.worker, head, call=self._call_kind)
+        record_load(self.run.state, self.worker, head)
         return head
 
-    async def part(self, timeout_s: float) -> bytes:
+    async def read_chunk(self, timeout_s: float) -> bytes:
         """The next part of the body; empty at its end."""
         assert self.connection is not None
         return await within(self.connection.read_part(), timeout_s, "no part of the body")
 
-    async def body(self, timeout_s: float) -> bytes:
+    async def read_body(self, timeout_s: float) -> bytes:
         """The rest of the answer, in whole."""
         assert self.connection is not None
         return await within(self.connection.read_body(MAX_ANSWER_BYTES), timeout_s, "no whole body")
@@ -165,52 +165,54 @@
 
     def record_slow_caller(self, error: CallerSlowError) -> None:
         """The caller did not read the answer in its time: nothing is held against the worker."""
-        self._ended("caller_slow", detail=error.message)
+        self._log_end("caller_slow", detail=error.message)
 
-    def succeeded(self) -> None:
+    def record_success(self) -> None:
         """The worker answered: what was held against it loses weight."""
-        self._ended("ok")
+        self._log_end("ok")
         self.run.state.workers.note_answer(
             self.worker.id, self.run.now - self.opened_at, self.run.now
         )
         record_answer_pace(self.run.state, self.worker, self.run.now - self.opened_at)
         if self.run.state.crashes.by_digest:
-            self.run.state.crashes.note_good_end(self._digest, self.run.now)
+            self.run.state.crashes.note_good_end(self._crash_digest, self.run.now)
 
-    def failed(self, error: ExchangeError) -> None:
+    def record_failure(self, error: ExchangeError) -> None:
         """Hold a failed exchange against the worker."""
         weight = {
-            Code.TARGET_UNREACHABLE: WEIGHT_CONNECT,
-            Code.UPSTREAM_SLOW: WEIGHT_LATE,
-        }.get(error.code, WEIGHT_BROKEN)
+            Code.TARGET_UNREACHABLE: FAILURE_SCORE_CONNECT,
+            Code.UPSTREAM_SLOW: FAILURE_SCORE_LATE,
+        }.get(error.code, FAILURE_SCORE_BROKEN)
         self.run.avoid.add(self.worker.id)
         if error.code is Code.TARGET_UNREACHABLE:
             self.run.state.workers.note_unreachable(self.worker.id, self.run.now)
         if error.code is Code.UPSTREAM_FAILED:
-            check_after_broken_answer(self.run.state, self.worker, self._digest)
+            check_after_broken_answer(self.run.state, self.worker, self._crash_digest)
         self._add_failure_score(weight, error.code.value, error.message)
 
-    def rejected(self, verdict: Verdict) -> None:
+    def record_rejection(self, verdict: Verdict) -> None:
         """The worker did not run the request, or another one answered in its place."""
         self.run.avoid.add(self.worker.id)
-        weight = WEIGHT_REJECTED
+        weight = FAILURE_SCORE_REJECTED
         self.run.state.workers.note_rejected(self.worker.id, self.run.now)
         if verdict is Verdict.WRONG_WORKER:
             # Peers hear of the weight: each would lose a prompt there before it knows.
-            weight = WEIGHT_DISPLACED
-            note_displaced(self.run.state, self.worker)
+            weight = FAILURE_SCORE_DISPLACED
+            record_displaced(self.run.state, self.worker)
         self._add_failure_score(weight, verdict.value, "")
 
-    def lacked(self, source: PrefillHandle) -> None:
+    def record_cache_fetch_failure(self, source: PrefillHandle) -> None:
         """The worker could not fetch the prompt's cache: that is held against its source."""
         workers = self.run.state.workers
-        score = workers.note_failure(source.worker.id, WEIGHT_LACKED, self.run.now)
-        self._ended("cache_not_fetched", source=source.worker.id, failures_now=round(score, 2))
+        score = workers.note_failure(
+            source.worker.id, FAILURE_SCORE_CACHE_NOT_FETCHED, self.run.now
+        )
+        self._log_end("cache_not_fetched", source=source.worker.id, failures_now=round(score, 2))
 
-    def faulty(self, status: int) -> None:
+    def record_error_status(self, status: int) -> None:
         """The worker ran the request and failed."""
         self.run.avoid.add(self.worker.id)
-        self._add_failure_score(WEIGHT_FAILED, f"status_{status}", "")
+        self._add_failure_score(FAILURE_SCORE_FAILED, f"status_{status}", "")
 
     def close(self) -> None:
         """Give the connection back, or close it if the answer is not whole."""
@@ -230,12 +232,12 @@
 
     def _add_failure_score(self, weight: float, outcome: str, detail: str) -> None:
         score = self.run.state.workers.note_failure(self.worker.id, weight, self.run.now)
-        self._ended(outcome, failures_now=round(score, 2), detail=detail)
+        self._log_end(outcome, failures_now=round(score, 2), detail=detail)
 
-    def _ended(self, outcome: str, **inputs: object) -> None:
+    def _log_end(self, outcome: str, **inputs: object) -> None:
         kind = Decision.PREFILL_ENDED if self.send.is_prefill else Decision.ATTEMPT_ENDED
         if outcome != "ok":
-            inputs["digest"] = self._digest
+            inputs["digest"] = self._crash_digest
         self.run.state.metrics.sends.inc({"outcome": outcome})
         self.run.log(
             kind,
--- a/src/croftchute/forwarding/workers/worker_control.py
+++ b/src/croftchute/forwarding/workers/worker_control.py
@@ -17,7 +17,7 @@
 from croftchute.forwarding.permits import PermitRequest
 from croftchute.forwarding.state import ForwardingState
 from croftchute.forwarding.workers.load_and_pace import record_reported_pace
-from croftchute.forwarding.workers.worker_signals import note_displaced, record_signals
+from croftchute.forwarding.workers.worker_signals import record_displaced, record_signals
 from croftchute.systems import patience
 from croftchute.tables.routing import Stage, Worker
 
@@ -75,14 +75,14 @@
         record_signals(state, worker, head, call="control")
         record_reported_pace(state, worker, head)
         if state.workers_speak.verdict(head) is Verdict.WRONG_WORKER:
-            note_displaced(state, worker)
+            record_displaced(state, worker)
         body = await within(connection.read_body(MAX_CONTROL_BODY_BYTES), answer_s, "no body")
         return head, body
     finally:
         state.pool.release(connection, worker.host, worker.port, owner=worker.id, now=state.clock())
 
 
-async def take_hold(
+async def acquire_hold(
     state: ForwardingState, worker: Worker, tokens: int, ttl_s: float
 ) -> Hold | None:
     """Reserve room at a worker; None if it has none, :class:`ExchangeError` if it fails.
@@ -120,10 +120,10 @@
         state.log.decide(Decision.HOLD_DROPPED, outcome=error.code.value, detail=error.message)
         return
     if hold is not None:
-        await drop_hold(state, hold, "")
+        await release_hold(state, hold, "")
 
 
-async def drop_hold(state: ForwardingState, hold: Hold, request_id: str) -> None:
+async def release_hold(state: ForwardingState, hold: Hold, request_id: str) -> None:
     """Give back room that nobody will use."""
     data = state.workers_speak.drop_hold(hold)
     await _release(state, hold.worker, data, Decision.HOLD_DROPPED, request_id)
--- a/src/croftchute/forwarding/workers/worker_signals.py
+++ b/src/croftchute/forwarding/workers/worker_signals.py
@@ -47,7 +47,7 @@
         state.on_limit_news()
 
 
-def note_displaced(state: ForwardingState, worker: Worker) -> None:
+def record_displaced(state: ForwardingState, worker: Worker) -> None:
     """Another worker answered at the address: no more work goes there, whatever was asked."""
     state.workers.note_displaced(worker.id)
     state.log.decide(Decision.WORKER_DISPLACED, worker=worker.id, address=worker.address)
--- a/tests/forwarding/workers/test_stage_coordinator.py
+++ b/tests/forwarding/workers/test_stage_coordinator.py
@@ -7,14 +7,14 @@
 
 from croftchute.forwarding.http.failures import AnswerLateError
 from croftchute.forwarding.workers import stage_coordinator
-from croftchute.forwarding.workers.stage_coordinator import LEASE_KEY, Turn
+from croftchute.forwarding.workers.stage_coordinator import LEASE_KEY, HeldLease
 from croftchute.router_settings import DecisionWays
 from croftchute.systems.service_capacity import EnginePower, SplitWay
 from croftchute.systems.stage_balance import StageChange, wanted_changes
 from croftchute.tables.routing import Stage
 
 
-async def order_once(made, monkeypatch, *, answer=202, has_lost_lease=False):
+async def send_one_order(made, monkeypatch, *, answer=202, has_lost_lease=False):
     """A box that holds the lease and wants one change, and the workers it sent an order to."""
     box = await made.add_box()
     await made.add_worker("p0", service="llm", stage="prefill")
@@ -22,23 +22,23 @@
     token = made.store.put(LEASE_KEY, {})
     sent = []
 
-    async def give(state, worker, stage, *, holder, token):
+    async def fake_send(state, worker, stage, *, holder, token):
         sent.append(worker.id)
         if isinstance(answer, Exception):
             raise answer
         return answer
 
-    monkeypatch.setattr(stage_coordinator, "send_stage_order", give)
+    monkeypatch.setattr(stage_coordinator, "send_stage_order", fake_send)
     if has_lost_lease:
         made.store.put(LEASE_KEY, {"holder": "another"})
     worker = box.state.workers.beliefs_by_id["p0"].worker
     change = StageChange(worker=worker, stage=Stage.DECODE, reason="test")
     now = box.state.clock()
     orders = box.orders
-    orders.turn = Turn(token=token, lease=1, since=now - 60.0)
+    orders.held_lease = HeldLease(token=token, lease_id=1, acquired_at=now - 60.0)
     orders._renew_at = now + 60.0
     orders._next_try_at = now
-    await asyncio.wait_for(orders._use_lease(orders.turn, [change]), 30)
+    await asyncio.wait_for(orders._use_lease(orders.held_lease, [change]), 30)
     return orders, sent
 
 
@@ -48,7 +48,7 @@
     async def body():
         async with fleet() as made:
             late = AnswerLateError("no head")
-            orders, sent = await order_once(made, monkeypatch, answer=late)
+            orders, sent = await send_one_order(made, monkeypatch, answer=late)
             assert sent == ["p0"]
             assert orders._pending_stages() == {"p0": Stage.DECODE}
 
@@ -58,8 +58,8 @@
 def test_no_order_is_given_once_the_lease_is_lost(monkeypatch):
     async def body():
         async with fleet() as made:
-            orders, sent = await order_once(made, monkeypatch, has_lost_lease=True)
-            assert sent == [] and orders.turn is None
+            orders, sent = await send_one_order(made, monkeypatch, has_lost_lease=True)
+            assert sent == [] and orders.held_lease is None
 
     run(body)
 
@@ -67,7 +67,7 @@
 def test_an_order_that_the_worker_refused_is_not_waited_for(monkeypatch):
     async def body():
         async with fleet() as made:
-            orders, sent = await order_once(made, monkeypatch, answer=409)
+            orders, sent = await send_one_order(made, monkeypatch, answer=409)
             assert sent == ["p0"] and orders._pending_stages() == {}
 
     run(body)
@@ -76,7 +76,7 @@
 def test_an_order_is_over_once_the_list_shows_it(monkeypatch):
     async def body():
         async with fleet() as made:
-            orders, _ = await order_once(made, monkeypatch)
+            orders, _ = await send_one_order(made, monkeypatch)
             assert orders._pending_stages() == {"p0": Stage.DECODE}
             belief = orders.state.workers.beliefs_by_id["p0"]
             belief.worker = replace(belief.worker, stage=Stage.DECODE)
@@ -91,7 +91,7 @@
     async def body():
         for answer, is_passed_over in ((202, True), (AnswerLateError("no head"), False)):
             async with fleet() as made:
-                orders, _ = await order_once(made, monkeypatch, answer=answer)
+                orders, _ = await send_one_order(made, monkeypatch, answer=answer)
                 belief = orders.state.workers.beliefs_by_id["p0"]
                 assert (belief.changing_until > orders.state.clock()) is is_passed_over
 
@@ -99,7 +99,7 @@
 
 
 def test_workers_that_leave_or_rest_get_no_order(monkeypatch):
-    monkeypatch.setattr(stage_coordinator, "LASTS_S", 0.0)
+    monkeypatch.setattr(stage_coordinator, "MIN_NEED_S", 0.0)
 
     async def body():
         async with fleet() as made:
@@ -111,15 +111,15 @@
             wishes.note_leaving("p0", box.state.clock())
             wishes.note_rest("p1", 60.0, box.state.clock())
             # No decode worker is listed, so one is wanted at once.
-            box.orders.wanted()
-            assert [change.worker.id for change in box.orders.wanted()] == ["p2"]
+            box.orders.find_changes()
+            assert [change.worker.id for change in box.orders.find_changes()] == ["p2"]
 
     run(body)
 
 
-async def add_demand(made, monkeypatch, split):
+async def box_with_demand(made, monkeypatch, split):
     """A box with 3 prefill workers and 1 decode worker, and long answers asked for."""
-    monkeypatch.setattr(stage_coordinator, "LASTS_S", 0.0)
+    monkeypatch.setattr(stage_coordinator, "MIN_NEED_S", 0.0)
     monkeypatch.setattr(stage_coordinator, "MIN_PREFILL_NEED_S", 0.0)
     box = await made.add_box()
     for name in ("p0", "p1", "p2"):
@@ -140,12 +140,12 @@
 
     async def body():
         async with fleet() as made:
-            box = await add_demand(made, monkeypatch, SplitWay.AUTO)
+            box = await box_with_demand(made, monkeypatch, SplitWay.AUTO)
             assert DecisionWays().split is SplitWay.AUTO
             state, orders = box.state, box.orders
-            found = orders.wanted()
+            found = orders.find_changes()
             state.ways = DecisionWays(split=SplitWay.FIXED_USE)
-            assert found and orders.wanted() == found
+            assert found and orders.find_changes() == found
             engine = state.table.services_by_name["llm"].engine
             power = EnginePower(
                 prefill_pace=state.prefill_pace("llm").pace,
@@ -164,11 +164,11 @@
     async def body():
         for split in (SplitWay.AUTO, SplitWay.HEADROOM):
             async with fleet() as made:
-                box = await add_demand(made, monkeypatch, split)
+                box = await box_with_demand(made, monkeypatch, split)
                 box.state.paces.note_told("d0", 1.0, box.state.clock())
                 box.state._tells_pace_by_service.clear()
                 assert box.orders.split_way("llm") is SplitWay.HEADROOM
-                assert box.orders.wanted() == []
+                assert box.orders.find_changes() == []
 
     run(body)
 
--- a/tests/platform_adapter/test_limits_in_trouble.py
+++ b/tests/platform_adapter/test_limits_in_trouble.py
@@ -17,7 +17,7 @@
 from croftchute.forwarding.boxes.limits import Allowance, AllowanceOutcome
 from croftchute.forwarding.workers.worker_control import (
     STATUS_NOT_PERMITTED,
-    drop_hold,
+    release_hold,
     send_stage_order,
 )
 from croftchute.steady_clock import steady_s
@@ -244,7 +244,7 @@
                 box.state, worker, Stage.PREFILL, holder="box-1", token=1
             )
             hold = box.state.workers_speak.hold(b'{"Hold":"h1"}', worker)
-            await drop_hold(box.state, hold, "r1")
+            await release_hold(box.state, hold, "r1")
             assert status == STATUS_NOT_PERMITTED
             assert decode.received == []
 
--- a/tests/platform_adapter/test_resting_workers.py
+++ b/tests/platform_adapter/test_resting_workers.py
@@ -19,7 +19,7 @@
 from platform_fleet import ask, fleet, run, until
 from stream_fleet import PARTS, engines, prefer
 
-from croftchute.forwarding.workers.worker_control import MAX_HOLD_S, drop_hold, take_hold
+from croftchute.forwarding.workers.worker_control import MAX_HOLD_S, acquire_hold, release_hold
 from croftchute.systems.patience import FULL_FOR_S
 
 REST_S = 5.0
@@ -136,10 +136,10 @@
             box, (decode, *_), _ = await engines(made)
             state = box.state
             worker = state.workers.beliefs_by_id["d0"].worker
-            hold = await take_hold(state, worker, 10, 2.0)
+            hold = await acquire_hold(state, worker, 10, 2.0)
             state.workers.wishes.note_rest("d0", 0.3, state.clock())
             ends_at = state.clock() + 0.3
-            giving_back = asyncio.create_task(drop_hold(state, hold, "r1"))
+            giving_back = asyncio.create_task(release_hold(state, hold, "r1"))
             await until(lambda: len(decode.received) > 1)
             assert state.clock() >= ends_at
             await giving_back
@@ -153,9 +153,9 @@
         async with fleet() as made:
             box, (decode, *_), _ = await engines(made)
             state = box.state
-            hold = await take_hold(state, state.workers.beliefs_by_id["d0"].worker, 10, 2.0)
+            hold = await acquire_hold(state, state.workers.beliefs_by_id["d0"].worker, 10, 2.0)
             state.workers.wishes.note_rest("d0", 2 * MAX_HOLD_S, state.clock())
-            await drop_hold(state, hold, "r1")
+            await release_hold(state, hold, "r1")
             assert [r.path for r in decode.received] == ["/hold-take"]
 
     run(body)
--- a/tests/platform_adapter/test_restored_store.py
+++ b/tests/platform_adapter/test_restored_store.py
@@ -135,11 +135,11 @@
             box = await plain_fleet(made)
             copy = made.store.copy()
             write_much(made)
-            await until(lambda: box.orders.turn is not None)
-            first = box.orders.turn
+            await until(lambda: box.orders.held_lease is not None)
+            first = box.orders.held_lease
             restore(made, copy)
             await knows_era(box, 4)
-            assert box.orders.turn is not first
+            assert box.orders.held_lease is not first
             made.store.remove("croftchute/stage-orders")
             lease = await box.orders.store.grant_lease(6.0)
             key = "croftchute/stage-orders"
--- a/tests/platform_adapter/test_room_by_rank.py
+++ b/tests/platform_adapter/test_room_by_rank.py
@@ -203,7 +203,7 @@
     async def reserve_and_keep(self):
         found = await reserve(self)
         if found is not None:
-            held_back.append((self.run.facts.id, self.run.held_back))
+            held_back.append((self.run.facts.id, self.run.is_held_back))
         return found
 
     monkeypatch.setattr(DecodeReservation, "reserve", reserve_and_keep)
--- a/tests/platform_adapter/test_store_and_peers.py
+++ b/tests/platform_adapter/test_store_and_peers.py
@@ -220,7 +220,7 @@
             for box in boxes:
                 await made.ready(box)
             await until(lambda: any(worker.orders for worker in prefills))
-            turns = [box.orders.turn for box in boxes if box.orders.turn is not None]
+            turns = [box.orders.held_lease for box in boxes if box.orders.held_lease is not None]
             assert len(turns) == 1
             order = next(worker.orders[0] for worker in prefills if worker.orders)
             assert order["Operation"] == "Stage" and order["Stage"] == "decode"
@@ -238,11 +238,11 @@
             prefill = await made.add_worker("p0", service="llm", stage="prefill")
             box = await made.add_box()
             await made.ready(box)
-            await until(lambda: box.orders.turn is not None)
-            token = box.orders.turn.token
-            made.store.end_lease(box.orders.turn.lease)
+            await until(lambda: box.orders.held_lease is not None)
+            token = box.orders.held_lease.token
+            made.store.end_lease(box.orders.held_lease.lease_id)
             made.store.remove("servers/d0")
-            await until(lambda: prefill.orders or box.orders.turn is None)
+            await until(lambda: prefill.orders or box.orders.held_lease is None)
             assert not [order for order in prefill.orders if order["FencingToken"] == token]
             assert decode.orders == []
 
@@ -258,7 +258,7 @@
             await made.ready(box)
             await until(lambda: "kv-lease" in made.store.calls)
             await asyncio.sleep(0)
-            assert box.orders.turn is None
+            assert box.orders.held_lease is None
 
     run(body)
 
--- a/tests/platform_adapter/test_streams_room.py
+++ b/tests/platform_adapter/test_streams_room.py
@@ -9,7 +9,7 @@
 from croftchute.forwarding.decision_log import Decision
 from croftchute.forwarding.http.failures import AnswerLateError, ConnectFailedError
 from croftchute.forwarding.workers.worker_call import WorkerCall
-from croftchute.forwarding.workers.worker_control import take_hold
+from croftchute.forwarding.workers.worker_control import acquire_hold
 from croftchute.systems import patience
 
 
@@ -190,7 +190,7 @@
             decode[0]._answer = answer
             worker = box.state.workers.beliefs_by_id[decode[0].id].worker
             with pytest.raises(AnswerLateError):
-                await take_hold(box.state, worker, 100, 3600.0)
+                await acquire_hold(box.state, worker, 100, 3600.0)
             granted.set()
             await until(lambda: not box.state.background)
             assert not decode[0].holds
--- a/tests/systems/room_run.py
+++ b/tests/systems/room_run.py
@@ -202,6 +202,6 @@
         if outcome == FOUND:
             return object(), object()
         if outcome == FULL:
-            self.run.full.add("w")
+            self.run.full_workers.add("w")
             self.code, self.detail = Code.NO_CAPACITY, "no room at w and others"
         return None
--- a/tests/systems/test_ranked_turn.py
+++ b/tests/systems/test_ranked_turn.py
@@ -121,7 +121,7 @@
     seen = []
     bench.on_sleep = lambda: seen.append(bench.state.ranked_room("llm").waiting())
     run = bench.request(0, prompt=SHORT)
-    run.before_s = 0.7
+    run.earlier_tries_s = 0.7
     bench.reserve(run, [FULL] * 15 + [FOUND])
     assert all(sum(waiting.values()) == 1 for waiting in seen)
     assert {0: 1} in seen and {6: 1} in seen
@@ -138,7 +138,7 @@
     urgent_waits(bench, waited_s=5.0)
     run = bench.request(2)
     room, found = bench.reserve(run, [FULL])
-    assert found is None and room.asks == 1 and run.held_back
+    assert found is None and room.asks == 1 and run.is_held_back
     assert room.code is Code.NO_CAPACITY
     # Four mean waits are 10.6 s; at most 0.32 of the 14 s that are left, less a tenth.
     assert 4.0 <= retry_after(bench.refuse(run, room)) <= 4.48
@@ -155,7 +155,7 @@
     run = bench.request(1, prompt=SHORT)
     _, found = bench.reserve(run, [FOUND])
     assert found is not None and bench.sleeps
-    assert not run.held_back
+    assert not run.is_held_back
 
 
 def test_a_request_that_held_back_and_then_finds_no_worker_says_so(monkeypatch):
@@ -177,7 +177,7 @@
     room = ScriptedRoom(run=run)
     room.has_worker = False
     _, found = bench.reserve(run, [NO_WORKER], room=room)
-    assert found is None and bench.sleeps == [] and not run.held_back
+    assert found is None and bench.sleeps == [] and not run.is_held_back
     assert room.code is None
 
 
--- a/tests/systems/test_unordered_room.py
+++ b/tests/systems/test_unordered_room.py
@@ -32,7 +32,7 @@
         self.detail = ""
         is_begun = run.exchange.is_started
         pause_s = patience.room_poll(
-            run.route, run.state.ways.returns, before_s=run.before_s, is_begun=is_begun
+            run.route, run.state.ways.returns, before_s=run.earlier_tries_s, is_begun=is_begun
         )
         asked_at = run.now
         has_waited = False
@@ -44,13 +44,13 @@
                 if has_waited:
                     run.state.room(run.service).note_granted(run.now)
                 return found
-            may_come = run.full or (is_begun and self._does_rest_end_soon())
+            may_come = run.full_workers or (is_begun and self._does_rest_end_soon())
             if not may_come or not self._may_wait(asked_at, is_begun=is_begun):
                 return None
             await asyncio.sleep(pause_s)
             has_waited = True
             run.state.room(run.service).note_waited(pause_s, run.now)
-            run.full.clear()
+            run.full_workers.clear()
 
     def _may_wait(self, asked_at, *, is_begun):
         run = self.run
@@ -64,7 +64,9 @@
             elapsed_s=run.now - run.started_at,
             time_left_s=run.time_left_s,
             reading_s=pace.reading_s(run.facts.prompt_tokens),
-            before_s=run.before_s if run.state.ways.returns is ReturnWay.IN_TIME_FIRST else 0.0,
+            before_s=(
+                run.earlier_tries_s if run.state.ways.returns is ReturnWay.IN_TIME_FIRST else 0.0
+            ),
         )
         if wait.is_worthwhile(run.route, mean_wait_s=mean_wait_s):
             return True
@@ -81,7 +83,7 @@
 def refuse_before(run, room):
     """Refuse with the Retry-After that was sent before there was an order."""
     code = room.code or Code.NO_UPSTREAM
-    mean_wait_s = run.state.mean_room_wait_s(run.service) if run.full else None
+    mean_wait_s = run.state.mean_room_wait_s(run.service) if run.full_workers else None
     retry_after_s = patience.retry_after(
         run.time_left_s, mean_wait_s=mean_wait_s, spread=run.state.rng.random()
     )
@@ -146,7 +148,7 @@
     bench = Bench(monkeypatch, organisations=[organisation("o", rate_per_s=5.0)], **ways)
     run = bench.request(2, organisation="o")
     room, found = bench.reserve(run, [FULL, FULL, FOUND])
-    assert found is not None and not run.held_back
+    assert found is not None and not run.is_held_back
     state = bench.state
     assert state.ranked_room_by_service == {} and state.use_by_service == {}
     assert queue_log_fields(run) == {}
