--- a/src/croftchute/forwarding/callers/__init__.py
+++ b/src/croftchute/forwarding/callers/__init__.py
@@ -1,1 +1,1 @@
-"""What faces callers: each request from its arrival to the way that serves it."""
+"""Handling of callers' requests, from arrival to the code that serves each kind."""
--- a/src/croftchute/forwarding/callers/forwarder.py
+++ b/src/croftchute/forwarding/callers/forwarder.py
@@ -1,4 +1,8 @@
-"""The handler of callers' requests: facts, route, service, then the kind's own way."""
+"""The handler of callers' requests.
+
+It reads the request, finds its route, organisation and service, and applies the organisation's
+usage limit. Plain and streaming requests are then served by their own modules.
+"""
 
 from __future__ import annotations
 
@@ -20,14 +24,14 @@
 NO_CONFIG_RETRY_AFTER_S = 0.5
 
 STOPPING_RETRY_AFTER_S = 0.05
-"""Seconds after which a caller of a stopping process may come back: other processes serve it, and
-the balancer sends new connections to them by then. As good as at once, but not a busy loop."""
+"""Seconds after which a caller of a stopping process may retry. By then the load balancer sends new
+connections to other processes. The retry is almost immediate, but no busy loop."""
 
 
 def stopping_log_fields(
     arrival: Arrival, *, stop_began_at: float, now: float
 ) -> dict[str, float | int]:
-    """How a request came to a box that stops, for the log.
+    """Return log fields on how a request arrived at a box that is stopping.
 
     >>> arrival = Arrival(connected_at=1.0, begun_at=7.0, read_at=7.25, number=3)
     >>> stopping_log_fields(arrival, stop_began_at=4.0, now=8.0)["queued_ms"]
@@ -45,10 +49,10 @@
 def identify_organisation(
     organisations: Organisations | None, key: KeyClaim, route: Route
 ) -> Organisation | None:
-    """The organisation that a request belongs to; None if the request needs none.
+    """Return the organisation that a request belongs to, or None if the request needs none.
 
-    Raises :class:`croftchute.errors.RequestError` if it needs a key that an organisation holds. A
-    key that was given and is not known is refused on every route.
+    Raise :class:`croftchute.errors.RequestError` if the route needs an organisation's key and the
+    request has none. An unknown key is refused on every route.
     """
     if organisations is None:
         return None
@@ -62,14 +66,14 @@
 
 
 class Forwarder:
-    """Serves one exchange after the other, many at a time."""
+    """Handles callers' exchanges, many of them concurrently."""
 
     def __init__(self, *, state: ForwardingState, usage_limits: UsageLimits) -> None:
         self.state = state
         self.usage_limits = usage_limits
 
     async def handle(self, exchange: Exchange) -> None:
-        """Answer one request."""
+        """Serve one request, or refuse it."""
         state = self.state
         started_at = state.clock()
         try:
@@ -91,7 +95,7 @@
             refusal = Refusal(
                 code=Code.NO_CONFIG,
                 ran=Ran.NOT_RUN,
-                detail="no configuration is known yet",
+                detail="no configuration has been loaded yet",
                 retry_after_s=NO_CONFIG_RETRY_AFTER_S,
             )
             self._refuse(exchange, facts.id, refusal)
@@ -120,14 +124,14 @@
             started_at=started_at,
         )
         if run.crashes_workers:
-            # Refused at every box, before a worker reads it or a limit counts it: each further try
-            # would cost the service a worker, and up to a dozen others' streams with it.
+            # Refused at every box, before a worker receives it and before it counts against a
+            # limit. Each further try would crash a worker and break up to a dozen other streams.
             run.refuse(Code.ENDS_WORKERS, Ran.NOT_RUN, "refused at arrival")
             return
         await self._run_within_limit(run)
 
     async def _run_within_limit(self, run: RequestRun) -> None:
-        """Run a request if its organisation may use that much more; what did not run is free."""
+        """Run a request within its organisation's limit; one that did not run costs nothing."""
         organisation = run.organisation
         if organisation is None or organisation.limit is None:
             await self._run(run)
@@ -161,13 +165,13 @@
             live_share=round(allowance.live_share, 3),
         )
         if allowance.outcome is AllowanceOutcome.UNKNOWN:
-            run.refuse(Code.LIMIT_UNKNOWN, Ran.NOT_RUN, f"no word of {allowance.pool}")
+            run.refuse(Code.LIMIT_UNKNOWN, Ran.NOT_RUN, f"no answer from {allowance.pool}")
         else:
-            detail = f"{run.facts.organisation} is at its limit"
+            detail = f"{run.facts.organisation} has reached its usage limit"
             run.refuse(Code.OVER_LIMIT, Ran.NOT_RUN, detail, expected_wait_s=allowance.wait_s)
 
     async def turn_away(self, exchange: Exchange) -> None:
-        """Refuse a request that came when this process, which stops, takes none any more."""
+        """Refuse a request that arrived after this stopping process closed for new ones."""
         state = self.state
         try:
             request_id = state.callers.read(exchange.request).id
@@ -176,7 +180,7 @@
         refusal = Refusal(
             code=Code.DRAINING,
             ran=Ran.NOT_RUN,
-            detail="this box stops and takes no more requests",
+            detail="this box is stopping and accepts no more requests",
             retry_after_s=STOPPING_RETRY_AFTER_S,
         )
         self._refuse(exchange, request_id, refusal)
--- a/src/croftchute/forwarding/callers/slow_callers.py
+++ b/src/croftchute/forwarding/callers/slow_callers.py
@@ -1,4 +1,4 @@
-"""What is told of answers that were ended because they held the most bytes for their callers."""
+"""Log and metrics of answers that were aborted because they buffered the most bytes."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def log_ended_stream(state: ForwardingState, request_id: str, ended: EndedStream) -> None:
-    """Log and count one; all sizes are in bytes."""
+    """Log and count one aborted answer; all sizes are in bytes."""
     state.metrics.slow_callers.inc({})
     state.log.decide(
         Decision.SLOW_CALLER_ENDED,
--- a/src/croftchute/forwarding/permits.py
+++ b/src/croftchute/forwarding/permits.py
@@ -1,4 +1,4 @@
-"""Leave to call workers: what the paths of a request ask for before each call of a worker."""
+"""Permits that a request acquires before it calls a worker with a rate limit."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class PermitRequest:
-    """Calls that are to be made, and by what the places are given where they are scarce.
+    """The number of calls to permit, and the request's claim where permits are scarce.
 
-    ``patience_s`` is how long the calls may be held for a permit that comes soon; ``rank`` is how
-    many ranks the request stands behind the most urgent ones of its service.
+    ``patience_s`` is how long the request waits for a permit. ``rank`` is how many ranks the
+    request is behind the most urgent ones of its service.
     """
 
     calls: int = 1
@@ -26,26 +26,26 @@
 
 
 class CallPermits(Protocol):
-    """Permits for calls of workers that name a limit for all boxes together."""
+    """Permits for calls of workers that state one rate limit for all boxes together."""
 
     async def acquire(self, worker: Worker, permit_request: PermitRequest = ONE_CALL) -> bool:
-        """Whether the calls of a worker may be made now; a worker without a limit takes any.
+        """Return whether the calls may be made now; without a limit they always may.
 
-        A worker that takes none for the moment is closed in the table until it takes one again.
+        A worker whose limit is reached is closed in the worker table until it takes calls again.
         """
         ...
 
     def release(self, worker: Worker, calls: int = 1) -> None:
-        """Calls that were not made after all."""
+        """Return the permits of calls that were not made."""
         ...
 
 
 class UnlimitedPermits:
-    """Permits without a limit, for what runs without other boxes."""
+    """Permits without a limit, for code that runs without other boxes."""
 
     async def acquire(self, worker: Worker, permit_request: PermitRequest = ONE_CALL) -> bool:
-        """Every call may be made."""
+        """Permit every call."""
         return True
 
     def release(self, worker: Worker, calls: int = 1) -> None:
-        """Nothing was taken."""
+        """Do nothing: no permit is counted."""
--- a/src/croftchute/forwarding/workers/__init__.py
+++ b/src/croftchute/forwarding/workers/__init__.py
@@ -1,1 +1,1 @@
-"""What faces workers: requests on their way, calls, what workers say of themselves, orders."""
+"""Calls of workers: requests, probes, worker signals and stage orders."""
--- a/src/croftchute/forwarding/workers/answer_completion.py
+++ b/src/croftchute/forwarding/workers/answer_completion.py
@@ -1,4 +1,4 @@
-"""The end of a whole answer whose caller may not have read all of it yet."""
+"""Completion of an answer that its caller may not have read in full yet."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 
 
 async def finish_answer(run: RequestRun, status: int, worker: str) -> None:
-    """Wait until nothing of the answer is held for the caller, then log and count it.
+    """Wait until the caller has read the whole answer, then log and count it.
 
-    One that is not read in the caller's time is broken off. Without bounds for held bytes there is
-    no waiting.
+    An answer that is not read before the caller's deadline is aborted. Where buffered bytes are not
+    bounded there is no wait.
     """
     exchange = run.exchange
     if exchange.has_unsent:
--- a/src/croftchute/forwarding/workers/chunk_reader.py
+++ b/src/croftchute/forwarding/workers/chunk_reader.py
@@ -1,4 +1,4 @@
-"""Reads a stream's parts from its worker, and gives the worker up where another may go on."""
+"""Reads the chunks of a streamed answer, with a time-out where the request can fail over."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 
 
 class ChunkReader:
-    """The parts of one attempt, each within the patience that its place in the stream asks for.
+    """Reads the chunks of one attempt, each within a time-out.
 
-    Where nobody else could go on at the moment, a pause is borne, and looked at again after each
-    further patience: another worker may have come meanwhile.
+    If no other worker can continue the stream, a time-out is no failure: the read goes on, and is
+    checked again after each further time-out, as another worker may have become available.
     """
 
     def __init__(
@@ -32,7 +32,10 @@
         self._last_chunk_at: float | None = None
 
     async def read(self) -> bytes:
-        """The next chunk, empty at the end; raises AnswerLateError or ConnectionBrokenError."""
+        """Return the next chunk, empty at the end.
+
+        Raise AnswerLateError or ConnectionBrokenError if the worker is late or fails.
+        """
         run = self.run
         while True:
             try:
@@ -46,7 +49,7 @@
             return chunk
 
     def mark_resumed(self) -> None:
-        """The worker was not read for a while: that is no pause of its own."""
+        """Restart the measured pause: reading was suspended, so the gap is not the worker's."""
         if self._last_chunk_at is not None:
             self._last_chunk_at = self.run.now
 
--- a/src/croftchute/forwarding/workers/crash_detection.py
+++ b/src/croftchute/forwarding/workers/crash_detection.py
@@ -1,7 +1,7 @@
-"""Finds out whether a worker that broke an answer off has ended, and under which requests.
+"""Finds out whether a worker that broke an answer off has crashed, and which requests it ran.
 
-A broken answer alone says little: connections are reset, and faulty workers break off and go on.
-A worker whose process has ended refuses connections at once, or has begun another life since.
+A broken answer alone is no proof: connections get reset, and faulty workers break an answer off and
+go on. A worker whose process has ended refuses connections at once, or has restarted since.
 """
 
 from __future__ import annotations
@@ -13,20 +13,20 @@
 from croftchute.tables.routing import Worker
 
 CONNECT_PROBE_TIMEOUT_S = 1.5
-"""Seconds until a connection must be up or refused: time for one lost packet to be sent again.
-Meanwhile the end is taken for likely, which only matters to requests that lost two workers."""
+"""Seconds until a connection must be open or refused: enough to resend one lost packet. Until then
+a crash counts as likely, which only matters to requests that have lost two workers already."""
 
 MAX_LOGGED_DIGESTS = 16
-"""Digests in one line: some more than a worker of eight slots runs for one box."""
+"""Most digests in one log line: more than a worker with eight slots runs for one box."""
 
 ALIVE, ENDED, UNKNOWN, RESTARTED = "lives", "ended", "unknown", "restarted"
-"""What a look at a worker finds."""
+"""Outcomes of a probe, as they are logged."""
 
 
 def check_after_broken_answer(state: ForwardingState, worker: Worker, digest: str) -> None:
-    """A worker broke the answer to a request off: look whether it has ended.
+    """Probe whether a worker has crashed after it broke off the answer to a request.
 
-    Workers that were leaving end as planned, whatever they run.
+    Workers that announced that they leave are expected to end, so they aren't probed.
     """
     belief = state.workers.beliefs_by_id.get(worker.id)
     if belief is None or state.workers.wishes.is_leaving(worker.id):
--- a/src/croftchute/forwarding/workers/load_and_pace.py
+++ b/src/croftchute/forwarding/workers/load_and_pace.py
@@ -1,4 +1,4 @@
-"""What workers' answers tell of their load and pace, by their word and by the time they took."""
+"""Records workers' load and pace, as reported in their answers and as measured."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
     Stage.DECODE: WorkKind.TOKEN,
     None: WorkKind.ANSWER,
 }
-"""The work whose time counts, by the stage of a worker."""
+"""The kind of work that a worker's pace is measured by, for each stage."""
 
 
 def record_load(state: ForwardingState, worker: Worker, head: ResponseHead) -> None:
-    """Take in the load and the pace that an answer's head tells, if any."""
+    """Record the load and the pace that an answer's head reports, if any."""
     load = state.workers_speak.load(head)
     if load is None:
         return
@@ -27,14 +27,14 @@
 
 
 def record_reported_pace(state: ForwardingState, worker: Worker, head: ResponseHead) -> None:
-    """Take in the pace alone, from an answer to a call of the router's own."""
+    """Record only the pace, from an answer to one of the router's own calls."""
     load = state.workers_speak.load(head)
     if load is not None and load.pace is not None:
         state.paces.note_told(worker.id, load.pace, state.clock())
 
 
 def record_answer_pace(state: ForwardingState, worker: Worker, seconds: float) -> None:
-    """A plain worker answered after some seconds: compared with what others usually take."""
+    """Record a plain worker's answer time, relative to the median of its service."""
     if worker.stage is not None:
         return
     belief = state.workers.beliefs_by_id.get(worker.id)
@@ -49,20 +49,20 @@
 def record_prefill_pace(
     state: ForwardingState, worker: Worker, tokens: int, seconds: float
 ) -> None:
-    """A prefill worker read a prompt in some seconds, waits left out."""
+    """Record how long a prefill worker took to read a prompt, without its queueing time."""
     usual_s = state.prefill_pace(worker.service).reading_s(tokens)
     if usual_s > 0.0:
         state.paces.note_seen(worker.id, WorkKind.READING, seconds / usual_s, state.clock())
 
 
 def record_peer_pace(state: ForwardingState, notice: WorkerPaceNotice) -> None:
-    """A peer told the pace of a worker; of one that is not known here nothing is kept."""
+    """Record a worker's pace that a peer reported; ignore workers that are unknown here."""
     belief = state.workers.beliefs_by_id.get(notice.worker)
     if belief is not None:
         state.paces.hear(notice, WORK_KIND_BY_STAGE[belief.worker.stage], state.clock())
 
 
 def median_answer_s(beliefs: list[WorkerBelief]) -> float:
-    """The median of the usual times of some workers; 0 if none has answered yet."""
+    """Return the median of the workers' usual answer times; 0 if none has answered yet."""
     known = sorted(belief.latency_s for belief in beliefs if belief.latency_s > 0.0)
     return known[(len(known) - 1) // 2] if known else 0.0
--- a/src/croftchute/forwarding/workers/load_probe.py
+++ b/src/croftchute/forwarding/workers/load_probe.py
@@ -1,4 +1,4 @@
-"""Probes of workers' load: short calls of the health path, which answers at once."""
+"""Probes of workers' load: short calls of the health path, which answers immediately."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 from croftchute.tables.routing import Service
 
 PROBE_TIMEOUT_S = 0.03
-"""Seconds that a request waits for its probes: some round trips, and little of any target."""
+"""Seconds that a request waits for its probes: a few round trips, and little of any target."""
 
 LATE_PROBE_TIMEOUT_S = 0.2
-"""Seconds after which a probe without an answer is given up. One that comes late still tells the
-load for others, and leaves its connection open; every cut one costs a new connection."""
+"""Seconds after which an unanswered probe is cancelled. A late answer still updates the load for
+other requests and keeps its connection open. Every cancelled probe costs a new connection."""
 
 
 async def probe_loads(
@@ -30,9 +30,9 @@
     *,
     permit_request: PermitRequest = ONE_CALL,
 ) -> dict[str, WorkerLoad]:
-    """The loads by id of the workers that told theirs in time; all are asked at once.
+    """Probe all workers at once; return the loads, by worker id, that arrived in time.
 
-    A probe that fails counts nothing against its worker. What is told is taken into the state too.
+    A failed probe does not count against its worker. Each load is recorded in the state too.
     """
     if not service.health_path or not workers:
         return {}
@@ -62,13 +62,13 @@
     if not await state.permits.acquire(worker, permit_request):
         return
     if state.clock() - asked_at > PROBE_TIMEOUT_S:
-        # The request has gone on without it.
+        # The request has continued without this probe.
         state.permits.release(worker)
         return
     data = state.workers_speak.ask_health(worker, path)
     try:
         exchange = control_exchange(state, worker, data, LATE_PROBE_TIMEOUT_S)
-        head, _ = await within(exchange, LATE_PROBE_TIMEOUT_S, "no answer to a probe")
+        head, _ = await within(exchange, LATE_PROBE_TIMEOUT_S, "no answer to a load probe in time")
     except ExchangeError:
         return
     load = state.workers_speak.load(head)
--- a/src/croftchute/forwarding/workers/worker_call.py
+++ b/src/croftchute/forwarding/workers/worker_call.py
@@ -1,4 +1,4 @@
-"""One sending of a request to one worker, and what is held against the worker if it fails."""
+"""One attempt of a request at one worker, and the failure score that it adds."""
 
 from __future__ import annotations
 
@@ -19,32 +19,32 @@
 from croftchute.systems.worker_choice import ChoiceInput
 
 MAX_ANSWER_BYTES = 16 << 20
-"""Longest whole answer in bytes: four times the longest body of a caller."""
+"""Longest complete answer in bytes: four times the longest request body."""
 
 FAILURE_SCORE_CONNECT = 2.0
-"""Failure score of a connection that did not come up: the worker is likely gone."""
+"""Failure score of a connection that could not be opened: the worker is probably gone."""
 
 FAILURE_SCORE_BROKEN = 1.0
-"""Failure score of an answer that broke off."""
+"""Failure score of an answer that was broken off."""
 
 FAILURE_SCORE_LATE = 1.0
 """Failure score of an answer that did not come in time."""
 
 FAILURE_SCORE_REJECTED = 0.5
-"""Failure score of a request that the worker did not run: it is full, or leaving."""
+"""Failure score of a request that the worker rejected because it is full or leaving."""
 
 FAILURE_SCORE_DISPLACED = 4.0
-"""Failure score of an address at which another worker answered: for peers to hear of."""
+"""Failure score of an address where another worker answered; high, so that peers are told."""
 
 FAILURE_SCORE_FAILED = 0.3
-"""Failure score of a worker's own failure: some requests fail at any worker."""
+"""Failure score of an error status; low, as some requests fail at any worker."""
 
 FAILURE_SCORE_CACHE_NOT_FETCHED = 1.0
-"""Failure score of a source whose cache could not be fetched."""
+"""Failure score of a prefill worker whose cached prompt could not be fetched."""
 
 
 class WorkerCall:
-    """One sending of a request to one worker; always end it with :meth:`close`."""
+    """One attempt of a request at one worker; always end it with :meth:`close`."""
 
     def __init__(
         self, *, run: RequestRun, belief: WorkerBelief, send: Send, chosen: ChoiceInput
@@ -63,19 +63,19 @@
 
     @property
     def _crash_digest(self) -> str:
-        """What an end of the worker is held against: the request, or the reading of its prompt."""
+        """The digest that a crash of the worker counts against: the request's or its prefill's."""
         return self.run.prefill_digest if self.send.is_prefill else self.run.digest
 
     @property
     def _call_kind(self) -> str:
-        """What was asked of the worker, for logs and metrics."""
+        """The kind of call, for logs and metrics."""
         return "prompt" if self.send.is_prefill else "request"
 
     def _max_idle_s(self) -> float:
-        """How long a kept connection may have been idle that this sending takes.
+        """Return how long a pooled connection may have been idle to be used for this call.
 
-        One that went silent would cost a request that may be sent once; but a worker that is full
-        resets new connections, and that costs it as well, where a kept one brings a rejection.
+        A request that may be sent only once would be lost on a dead connection. But a full worker
+        resets new connections, which would lose it too; on a pooled connection it is rejected.
         """
         may_repeat = self.send.is_prefill or self.run.route.may_repeat
         if may_repeat or self.belief.has_rejected_lately(self.run.now):
@@ -83,7 +83,7 @@
         return patience.ONCE_IDLE_S
 
     async def open(self) -> None:
-        """Connect and send; raises :class:`ConnectFailedError` if nothing went out."""
+        """Connect and send; raise :class:`ConnectFailedError` if nothing was sent."""
         run = self.run
         worker = self.worker
         run.last_worker = worker.id
@@ -127,7 +127,7 @@
         )
 
     async def read_head(self, timeout_s: float) -> ResponseHead:
-        """The head of the answer; raises AnswerLateError or ConnectionBrokenError."""
+        """Read the answer's head; raise AnswerLateError or ConnectionBrokenError."""
         assert self.connection is not None
         head = await within(self.connection.read_head(), timeout_s, "no head")
         record_signals(self.run.state, self.worker, head, call=self._call_kind)
@@ -135,25 +135,27 @@
         return head
 
     async def read_chunk(self, timeout_s: float) -> bytes:
-        """The next part of the body; empty at its end."""
+        """Read the next chunk of the body; empty at its end."""
         assert self.connection is not None
-        return await within(self.connection.read_part(), timeout_s, "no part of the body")
+        return await within(self.connection.read_part(), timeout_s, "no chunk of the body in time")
 
     async def read_body(self, timeout_s: float) -> bytes:
-        """The rest of the answer, in whole."""
+        """Read the rest of the answer."""
         assert self.connection is not None
-        return await within(self.connection.read_body(MAX_ANSWER_BYTES), timeout_s, "no whole body")
+        return await within(
+            self.connection.read_body(MAX_ANSWER_BYTES), timeout_s, "body is incomplete"
+        )
 
     async def wait_for_caller(self) -> None:
-        """Leave the worker unread until the caller has read enough of what is held for it.
+        """Stop reading from the worker until the caller has read enough of its buffered bytes.
 
-        Raises CallerSlowError once the caller's time is over.
+        Raise CallerSlowError at the caller's deadline.
         """
         connection = self.connection
         assert connection is not None
         exchange = self.run.exchange
         connection.pause_reading()
-        # At most one reading of the socket has come that could not be written.
+        # At most one read of the socket has arrived that was not yet written to the caller.
         exchange.note_unread(connection.unread_bytes)
         try:
             await within(exchange.drained(), self.run.time_left_s, "caller did not read")
@@ -164,11 +166,11 @@
         connection.resume_reading()
 
     def record_slow_caller(self, error: CallerSlowError) -> None:
-        """The caller did not read the answer in its time: nothing is held against the worker."""
+        """Record that the caller did not read in time; the worker's score does not change."""
         self._log_end("caller_slow", detail=error.message)
 
     def record_success(self) -> None:
-        """The worker answered: what was held against it loses weight."""
+        """Record an answer, which reduces the worker's failure score."""
         self._log_end("ok")
         self.run.state.workers.note_answer(
             self.worker.id, self.run.now - self.opened_at, self.run.now
@@ -178,7 +180,7 @@
             self.run.state.crashes.note_good_end(self._crash_digest, self.run.now)
 
     def record_failure(self, error: ExchangeError) -> None:
-        """Hold a failed exchange against the worker."""
+        """Record a failed exchange, and add to the worker's failure score."""
         weight = {
             Code.TARGET_UNREACHABLE: FAILURE_SCORE_CONNECT,
             Code.UPSTREAM_SLOW: FAILURE_SCORE_LATE,
@@ -191,18 +193,19 @@
         self._add_failure_score(weight, error.code.value, error.message)
 
     def record_rejection(self, verdict: Verdict) -> None:
-        """The worker did not run the request, or another one answered in its place."""
+        """Record that the worker did not run the request, or that another worker answered."""
         self.run.avoid.add(self.worker.id)
         weight = FAILURE_SCORE_REJECTED
         self.run.state.workers.note_rejected(self.worker.id, self.run.now)
         if verdict is Verdict.WRONG_WORKER:
-            # Peers hear of the weight: each would lose a prompt there before it knows.
+            # The score is high enough for peers to be told. Otherwise each peer would lose a
+            # prompt there before it knows.
             weight = FAILURE_SCORE_DISPLACED
             record_displaced(self.run.state, self.worker)
         self._add_failure_score(weight, verdict.value, "")
 
     def record_cache_fetch_failure(self, source: PrefillHandle) -> None:
-        """The worker could not fetch the prompt's cache: that is held against its source."""
+        """Record that the worker could not fetch the prompt's cache; the source is to blame."""
         workers = self.run.state.workers
         score = workers.note_failure(
             source.worker.id, FAILURE_SCORE_CACHE_NOT_FETCHED, self.run.now
@@ -210,12 +213,12 @@
         self._log_end("cache_not_fetched", source=source.worker.id, failures_now=round(score, 2))
 
     def record_error_status(self, status: int) -> None:
-        """The worker ran the request and failed."""
+        """Record that the worker ran the request and answered with an error status."""
         self.run.avoid.add(self.worker.id)
         self._add_failure_score(FAILURE_SCORE_FAILED, f"status_{status}", "")
 
     def close(self) -> None:
-        """Give the connection back, or close it if the answer is not whole."""
+        """Return the connection to the pool, or close it if the answer is incomplete."""
         if self._is_counted:
             self._is_counted = False
             self.belief.sent_at_by_call.pop(self, None)
--- a/src/croftchute/forwarding/workers/worker_control.py
+++ b/src/croftchute/forwarding/workers/worker_control.py
@@ -1,4 +1,4 @@
-"""The router's own short calls of workers: holds taken and dropped, handles freed."""
+"""The router's own short calls of workers: holds, handles, cache lists and stage orders."""
 
 from __future__ import annotations
 
@@ -25,17 +25,17 @@
 STATUS_OK = 200
 
 STATUS_NOT_PERMITTED = 429
-"""Stands for the answer of a worker that was not called, as a limit that it names is reached."""
+"""Reported instead of an answer if the worker was not called because of its rate limit."""
 
 CALLS_PER_STAGE_ORDER = 2
-"""Calls of a worker that an order takes."""
+"""Calls of a worker for one stage order: its report and the order itself."""
 
 STATUS_OTHER_PROCESS = 421
-"""Stands for the answer of a worker that took no order as it is not the one that was meant."""
+"""Reported instead of an answer if the worker has restarted since the order was decided."""
 
 MAX_HOLD_S = 10.0
-"""Seconds for which a worker keeps a hold or a handle at most that nobody uses: the sites' sheets
-name 0.5 to 2. What a worker that rests for longer keeps is left to lapse."""
+"""Longest time in seconds that a worker keeps an unused hold or handle; the sites' data sheets say
+0.5 to 2. If a worker asked for a longer rest, its holds and handles are left to expire."""
 
 
 async def control_call(
@@ -46,10 +46,10 @@
     *,
     answer_s: float | None = None,
 ) -> tuple[int, bytes]:
-    """Status and body of a short call; raises :class:`ExchangeError`.
+    """Make a short call; return its status and body, or raise :class:`ExchangeError`.
 
-    ``timeout_s`` is for the connection and the answer, ``answer_s`` for the answer if it may take
-    longer.
+    ``timeout_s`` bounds the connection and the answer. ``answer_s`` bounds the answer instead, if
+    it may take longer.
     """
     head, body = await control_exchange(state, worker, data, timeout_s, answer_s=answer_s)
     return head.status, body
@@ -63,7 +63,7 @@
     *,
     answer_s: float | None = None,
 ) -> tuple[ResponseHead, bytes]:
-    """Head and body of a short call, as :func:`control_call`."""
+    """Make a short call as :func:`control_call` does; return its head and body."""
     answer_s = timeout_s if answer_s is None else answer_s
     state.workers.wishes.note_sent(worker.id, state.clock())
     connection = await state.pool.acquire(
@@ -85,9 +85,10 @@
 async def acquire_hold(
     state: ForwardingState, worker: Worker, tokens: int, ttl_s: float
 ) -> Hold | None:
-    """Reserve room at a worker; None if it has none, :class:`ExchangeError` if it fails.
+    """Reserve room at a worker; return None if it has none.
 
-    What is granted later than anyone waits for it is given back as soon as the grant comes.
+    Raise :class:`ExchangeError` if the call fails. A hold that is granted too late is released as
+    soon as the grant arrives.
     """
     asking = asyncio.ensure_future(_request_hold(state, worker, tokens, ttl_s))
     try:
@@ -113,7 +114,7 @@
 
 
 async def _release_late_hold(state: ForwardingState, asking: asyncio.Future[Hold | None]) -> None:
-    """Give a hold back that nobody waits for any more, if it is granted at all."""
+    """Release a hold that nobody waits for any more, once it is granted."""
     try:
         hold = await asking
     except ExchangeError as error:
@@ -124,19 +125,19 @@
 
 
 async def release_hold(state: ForwardingState, hold: Hold, request_id: str) -> None:
-    """Give back room that nobody will use."""
+    """Release a hold that will not be used."""
     data = state.workers_speak.drop_hold(hold)
     await _release(state, hold.worker, data, Decision.HOLD_DROPPED, request_id)
 
 
 async def release_handle(state: ForwardingState, handle: PrefillHandle, request_id: str) -> None:
-    """Free a prompt's KV cache that nobody will fetch."""
+    """Release a prompt's KV cache that no worker will fetch."""
     data = state.workers_speak.release(handle)
     await _release(state, handle.worker, data, Decision.HANDLE_FREED, request_id)
 
 
 async def fetch_cached_parts(state: ForwardingState, worker: Worker) -> dict[str, int]:
-    """Tokens that a worker keeps by prompt part; ExchangeError or MessageError if it fails."""
+    """Return a worker's cached tokens by prompt part; raise ExchangeError or MessageError."""
     if not await state.permits.acquire(worker):
         return {}
     data = state.workers_speak.ask_kept(worker)
@@ -147,7 +148,7 @@
 async def send_stage_order(
     state: ForwardingState, worker: Worker, stage: Stage, *, holder: str, token: int
 ) -> int:
-    """Order a worker to change its stage, if nothing was ordered since it was asked."""
+    """Order a worker to change its stage, unless it received another order since its report."""
     if not await state.permits.acquire(worker, PermitRequest(calls=CALLS_PER_STAGE_ORDER)):
         return STATUS_NOT_PERMITTED
     status, body = await control_call(
@@ -157,7 +158,7 @@
         return status
     report = state.workers_speak.report(body)
     if None not in (report.born_ms, worker.born_ms) and report.born_ms != worker.born_ms:
-        # Another life answers under the name: the order was meant for the one before it.
+        # The worker has restarted: the order was meant for its earlier process.
         return STATUS_OTHER_PROCESS
     data = state.workers_speak.stage_order(
         worker, stage, holder=holder, token=token, sequence=report.orders_taken
@@ -182,7 +183,7 @@
 
 
 async def _wait_until_rested(state: ForwardingState, worker: Worker) -> bool:
-    """Wait until a worker takes calls again; False if what it keeps lapses before."""
+    """Wait until a worker accepts calls again; False if its holds expire before that."""
     while (rest_s := state.workers.wishes.rest_left_s(worker.id, state.clock())) > 0.0:
         if rest_s > MAX_HOLD_S:
             return False
--- a/src/croftchute/forwarding/workers/worker_restart.py
+++ b/src/croftchute/forwarding/workers/worker_restart.py
@@ -1,4 +1,4 @@
-"""What is done when a worker has begun another life under the name that it had."""
+"""Handling of a worker that has restarted under the same name."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 
 
 def close_stale_connections(state: ForwardingState, worker: Worker, *, revision: int) -> None:
-    """Close all connections to an earlier life: what ran there is known to have failed.
+    """Close all connections to the worker's earlier process; every call there has failed.
 
-    Its process has ended, so no answer will come; those who wait for one go elsewhere now, and not
-    after a time-out of seconds.
+    That process has ended, so no answer will come. Requests that wait for one fail over at once,
+    instead of after a time-out of seconds.
     """
     closed = state.pool.close_owner(worker.id)
     state.log.decide(
--- a/src/croftchute/forwarding/workers/worker_signals.py
+++ b/src/croftchute/forwarding/workers/worker_signals.py
@@ -1,4 +1,7 @@
-"""Takes in what a worker's answer says that the worker wants, on whatever path the answer came."""
+"""Records what workers signal about themselves: that they leave, need rest or have a limit.
+
+Every answer may carry signals, whatever the call was.
+"""
 
 from __future__ import annotations
 
@@ -17,7 +20,7 @@
 def record_signals(
     state: ForwardingState, worker: Worker, head: ResponseHead, *, call: str
 ) -> None:
-    """Keep the wish that an answer to ``call`` tells, if it tells one."""
+    """Record the signals in an answer; ``call`` names the kind of call for logs and metrics."""
     wish = state.workers_speak.wish(head)
     now = state.clock()
     wishes = state.workers.wishes
@@ -34,7 +37,7 @@
 def _note_limit(
     state: ForwardingState, worker: Worker, head: ResponseHead, wish: WorkerWish, *, call: str
 ) -> None:
-    """Keep the limit that an answer names, or that it names none."""
+    """Record the rate limit that an answer states, or that it states none."""
     now = state.clock()
     limits = state.workers.limits
     if wish.limit_per_s is None:
@@ -48,15 +51,16 @@
 
 
 def record_displaced(state: ForwardingState, worker: Worker) -> None:
-    """Another worker answered at the address: no more work goes there, whatever was asked."""
+    """Send no more work to an address where another worker answered."""
     state.workers.note_displaced(worker.id)
     state.log.decide(Decision.WORKER_DISPLACED, worker=worker.id, address=worker.address)
 
 
 def record_peer_leaving(state: ForwardingState, worker_id: str, *, sender: str) -> None:
-    """Another box tells of a worker that leaves: it gets nothing more, not even as a last resort.
+    """Record a leaving worker that a peer reported; it gets no work, not even as a last resort.
 
-    The store may be away for long, and each box would otherwise lose a request there to hear it.
+    The store may be unavailable for long. Without the report, each box would have to lose a request
+    at the worker to learn of it.
     """
     now = state.clock()
     if state.workers.wishes.note_leaving(worker_id, now, known_for_s=math.inf):
@@ -67,7 +71,7 @@
 
 
 def record_peer_limit(state: ForwardingState, notice: LimitNotice, *, sender: str) -> None:
-    """Another box tells of a worker that names a limit: it holds for all boxes together."""
+    """Record a worker's rate limit, for all boxes together, that a peer reported."""
     if state.workers.limits.hear(notice, state.clock()):
         state.metrics.wishes.inc({"wish": "limit", "call": "notice"})
         state.log.decide(
