--- a/src/croftchute/forwarding/workers/completion_time_selector.py
+++ b/src/croftchute/forwarding/workers/completion_time_selector.py
@@ -1,4 +1,4 @@
-"""Choices of workers by predicted end, from what the process knows of a service."""
+"""Selection of workers by the predicted completion time of the request."""
 
 from __future__ import annotations
 
@@ -27,11 +27,11 @@
 from croftchute.tables.routing import RequestFacts, Route, Stage
 
 USUAL_TIMES_TTL_S = 0.5
-"""Seconds for which the usual times of a service are used: they are means of seconds."""
+"""Seconds for which computed usual times are reused; they are averages over seconds anyway."""
 
 
 def selects_by_completion_time(state: ForwardingState, service: str) -> bool:
-    """Whether workers of a service are chosen by predicted end."""
+    """Whether workers of a service are selected by predicted completion time."""
     way = state.ways.placement
     if way is PlacementWay.AUTO:
         return state.tells_pace(service)
@@ -39,7 +39,7 @@
 
 
 class SelectionRequest(Protocol):
-    """The request for which a worker is chosen."""
+    """The request for which a worker is selected."""
 
     state: ForwardingState
     service: str
@@ -49,7 +49,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class CompletionTimeSelector:
-    """One choice of a worker for a request; ``avoid`` are ids of workers that are passed over."""
+    """Selects one worker for a request; ``avoid`` holds the ids of workers to skip."""
 
     request: SelectionRequest
     stage: Stage | None
@@ -58,7 +58,7 @@
 
     @property
     def state(self) -> ForwardingState:
-        """What the process knows."""
+        """The state of the process."""
         return self.request.state
 
     @property
@@ -67,9 +67,9 @@
         return self.request.service
 
     def select(self, candidates: Sequence[WorkerBelief]) -> tuple[WorkerBelief, ChoiceInput] | None:
-        """A plain or decode worker, drawn at random with the sooner ones more often.
+        """Draw a plain or decode worker at random, weighted towards earlier completion.
 
-        Of many candidates some are looked at, as in choices by cost.
+        Of many candidates only a sample is compared, as in choices by cost.
         """
         left = self._without_avoided(candidates)
         if not left:
@@ -89,10 +89,10 @@
     async def select_prefill(
         self, candidates: Sequence[WorkerBelief], *, permit_request: PermitRequest | None
     ) -> tuple[WorkerBelief, ChoiceInput] | None:
-        """The soonest of some prefill workers drawn by speed and probed.
+        """Draw some prefill workers by speed, probe them, and return the earliest one.
 
-        ``permit_request`` is for permits of the probes; None asks for no probes. Without any
-        answer to them a worker is drawn as others are.
+        ``permit_request`` is used for the probes; None means that no probes are sent. Without any
+        probe answer the worker is drawn as in :meth:`select`.
         """
         state = self.state
         left = predicted_end.without_doubtful(
@@ -113,7 +113,7 @@
                 state, service, drawn, PROBE_TIMEOUT_S, permit_request=permit_request
             )
         if not loads_by_id:
-            # By old news alone the soonest of three is the same one for too many boxes.
+            # With old data alone, too many boxes would pick the same earliest worker.
             return self.select(left)
         ends = self._predict_ends(drawn)
         return self._describe_choice(drawn, ends, predicted_end.earliest(ends))
@@ -169,7 +169,7 @@
 def predict_reading_times(
     end: PredictedEnd, decode: WorkerBelief, *, state: ForwardingState, prompt_tokens: int
 ) -> ReadingTimes:
-    """Until when a prompt is read ahead by the worker of an end, or by its decode worker."""
+    """Predict the prefill times at the prefill worker of ``end`` and at the decode worker."""
     service = decode.worker.service
     reading = state.prefill_pace(service)
     pace = state.paces.estimate(decode.worker.id, WorkKind.TOKEN, state.clock())
@@ -180,7 +180,7 @@
 
 
 def usual_times(state: ForwardingState, service: str) -> UsualTimes:
-    """What is usual at the workers of a service, by the news of all boxes heard."""
+    """Return the usual times of a service, from the reports of all known boxes."""
     now = state.clock()
     known = state.usual_times_by_service.get(service)
     if known is None or now - known.at >= USUAL_TIMES_TTL_S:
--- a/src/croftchute/forwarding/workers/decode_reservation.py
+++ b/src/croftchute/forwarding/workers/decode_reservation.py
@@ -1,4 +1,4 @@
-"""Room for a streaming request at a decode worker: asked for, waited for, held till it is sent."""
+"""Reservation of memory for a streaming request at a decode worker."""
 
 from __future__ import annotations
 
@@ -26,15 +26,14 @@
 from croftchute.tables.routing import EngineTraits, Stage, Worker
 
 CALLS_PER_HELD_REQUEST = 2
-"""Calls of a worker that a stream takes there: an ask for room, and the request itself."""
+"""Calls of a worker for one stream: the reservation and the request itself."""
 
 
 class DecodeReservation:
-    """Finds a decode worker with room for one request, and keeps its hold until it is used.
+    """Finds a decode worker with room for one request, and keeps the hold until it is used.
 
-    ``cached_worker_id`` is the worker that may still keep the request's cache: it is asked first,
-    once.
-    ``code`` and ``detail`` say why the workers that were asked last had none.
+    ``cached_worker_id`` is the worker that may still have the prompt in its cache; it is asked
+    first, once. ``code`` and ``detail`` say why the workers asked last had no room.
     """
 
     def __init__(self, *, run: RequestRun) -> None:
@@ -48,7 +47,7 @@
         self._usage = RequestUsage(run=run)
 
     async def reserve(self) -> tuple[WorkerBelief, ChoiceInput] | None:
-        """A decode worker that keeps room for the request, waiting for a while if all are full."""
+        """Reserve room at a decode worker, waiting while all are full; None if there is none."""
         run = self.run
         self.code = None
         self.detail = ""
@@ -57,10 +56,10 @@
         is_last_ask = False
         with closing(self._wait_policy(is_begun=is_begun)) as policy:
             while True:
-                # Where there is no worker the request is refused for that, without a wait.
+                # Without any worker the request asks in any case, and is refused without a wait.
                 has_asked = is_last_ask or policy.may_ask(run.now) or not self._has_worker()
                 if has_asked and run.is_held_back:
-                    # It says no longer why the request has no room.
+                    # Being held back is no longer the reason for having no room.
                     self.code, self.detail = None, ""
                 run.is_held_back = not has_asked
                 found = await self._ask_for_room() if has_asked else None
@@ -69,7 +68,7 @@
                         run.state.demand(run.service).note_granted(run.now, is_large=run.is_large)
                     policy.granted(run.now)
                     return found
-                # The one ask at the end does not change why the request had no room before.
+                # The last ask does not change the reason: the request was held back until then.
                 run.is_held_back |= is_last_ask
                 if run.is_held_back:
                     self.code = Code.NO_CAPACITY
@@ -92,7 +91,7 @@
                 run.full_workers.clear()
 
     def _wait_policy(self, *, is_begun: bool) -> RoomWaitPolicy:
-        """How the request waits: a stream that has begun goes before all others."""
+        """Return how the request waits; a stream that has begun does not queue by rank."""
         run = self.run
         if not is_begun and run.is_ordered:
             return RankedWait(run=run, usage=self._usage)
@@ -102,16 +101,16 @@
         return PollingWait(history=run.state.room(run.service), poll_s=pause_s)
 
     def _has_worker(self) -> bool:
-        """Whether some decode worker may be asked now."""
+        """Whether any decode worker may be asked now."""
         run = self.run
         return bool(run.state.workers.usable(run.service, run.now, stage=Stage.DECODE))
 
     def _does_rest_end_soon(self) -> bool:
-        """Whether a decode worker takes work again while the caller of a begun stream waits."""
+        """Whether a resting decode worker accepts work again within the wait of a begun stream."""
         return 0.0 < self.run.rest_left_s <= patience.RESUME_WAIT_S
 
     def _may_wait(self, asked_at: float, *, is_begun: bool) -> bool:
-        """Whether to go on waiting for room: it will likely come while the caller wants it."""
+        """Whether to go on waiting, as room is likely to come before the caller's deadline."""
         run = self.run
         if is_begun:
             return run.now - asked_at < min(patience.RESUME_WAIT_S, run.time_left_s)
@@ -140,7 +139,7 @@
         return False
 
     async def _ask_for_room(self) -> tuple[WorkerBelief, ChoiceInput] | None:
-        """Ask the decode workers, the cheapest first; None if none has room."""
+        """Ask the decode workers in order of choice; None if none has room."""
         run = self.run
         engine = run.engine
         if (
@@ -167,7 +166,7 @@
     async def _reserve_at_cached_worker(
         self, engine: EngineTraits
     ) -> tuple[WorkerBelief, ChoiceInput] | None:
-        """Room at the worker that may still keep the request's cache."""
+        """Reserve room at the worker that may still have the prompt in its cache."""
         cached = self._find_cached_worker()
         if cached is None or not await self._reserve_if_permitted(*cached, engine):
             return None
@@ -176,7 +175,7 @@
     async def _reserve_if_permitted(
         self, belief: WorkerBelief, chosen: ChoiceInput, engine: EngineTraits
     ) -> bool:
-        """Ask a worker for room if it takes that call, and the request behind it."""
+        """Reserve room at a worker if its limit permits that call and the request after it."""
         if not await self.run.acquire_permit(belief, calls=CALLS_PER_HELD_REQUEST):
             return False
         self._permit_worker = belief.worker
@@ -186,7 +185,7 @@
         return is_held
 
     def _find_cached_worker(self) -> tuple[WorkerBelief, ChoiceInput] | None:
-        """The worker that the stream ran at: if it lives, it still keeps the prompt's cache."""
+        """Return the worker that ran the stream: if it is alive, it still has the cache."""
         worker_id, self.cached_worker_id = self.cached_worker_id, None
         if worker_id is None or self._has_tried_cached_worker:
             return None
@@ -220,7 +219,7 @@
                 self._set_no_room(belief)
         except ExchangeError as error:
             outcome = error.code.value
-            # A late one may have room once its link is less busy: asked again like a full one.
+            # A late worker may have room once its link is less busy, so it counts as full.
             (run.full_workers if error.code is Code.UPSTREAM_SLOW else run.avoid).add(
                 belief.worker.id
             )
@@ -239,12 +238,12 @@
         return self.hold is not None
 
     def mark_used(self) -> None:
-        """The request was sent: neither the hold nor the permit for it is left."""
+        """Forget the hold and the permit: the request that was sent has used them."""
         self.hold = None
         self._permit_worker = None
 
     def release_unused(self) -> None:
-        """Give the hold and the permit back if nothing was sent with them."""
+        """Release the hold and the permit if no request was sent with them."""
         self._release_permit()
         if self.hold is not None:
             state = self.run.state
--- a/src/croftchute/forwarding/workers/plain_admission.py
+++ b/src/croftchute/forwarding/workers/plain_admission.py
@@ -1,4 +1,4 @@
-"""Admission of plain calls while their service queues: the load is asked for, then decided by."""
+"""Admission of plain calls while their service has a queue, by freshly probed loads."""
 
 from __future__ import annotations
 
@@ -16,19 +16,19 @@
 from croftchute.tables.routing import Service
 
 MAX_PROBES = 3
-"""Workers asked for one call: a plain service has a few, and each probe is a call of its own."""
+"""Most workers probed for one call. A plain service has a few, and each probe costs a call."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Admission:
-    """Where a call goes by the load just told; ``found`` is None if it would be late everywhere."""
+    """The worker for a call by its fresh load; ``found`` is None if all would be late."""
 
     choice: PlainChoice
     found: tuple[WorkerBelief, ChoiceInput] | None
 
 
 async def admit(run: RequestRun) -> Admission | None:
-    """Decide on a plain call by fresh loads; None where there is no queue, or no news of it."""
+    """Place or refuse a plain call by fresh loads; None without a queue or without loads."""
     service = _probed_service(run)
     if service is None or run.connect_failures:
         return None
@@ -63,13 +63,13 @@
 
 
 def refuse_late(run: RequestRun, admission: Admission) -> None:
-    """Refuse a call that would be late at every worker; nothing of it was sent."""
-    detail = f"would end in {admission.choice.end_s:.2f} s at {admission.choice.worker_id}"
-    run.refuse(Code.NO_CAPACITY, Ran.NOT_RUN, f"{detail} and later at others")
+    """Refuse a call, not yet sent, that would be late at every probed worker."""
+    detail = f"would complete in {admission.choice.end_s:.2f} s at {admission.choice.worker_id}"
+    run.refuse(Code.NO_CAPACITY, Ran.NOT_RUN, f"{detail}, and later at other workers")
 
 
 def _probed_service(run: RequestRun) -> Service | None:
-    """The service, if it is a plain one whose workers tell their load when they are asked."""
+    """Return the service if it is a plain one whose workers report their load to probes."""
     state = run.state
     table = state.table
     service = table.services_by_name.get(run.service) if table is not None else None
@@ -79,7 +79,7 @@
 
 
 def _fresh_load(state: ForwardingState, belief: WorkerBelief) -> QueueLoad | None:
-    """What a worker told within the time of a probe."""
+    """Return the load that a worker reported within the time-out of a probe, or None."""
     now = state.clock()
     if now - belief.load_at > PROBE_TIMEOUT_S:
         return None
--- a/src/croftchute/forwarding/workers/plain_run.py
+++ b/src/croftchute/forwarding/workers/plain_run.py
@@ -1,4 +1,4 @@
-"""Requests whose answer is a whole: read it in full, then hand it to the caller."""
+"""Requests with a plain answer, which is read in full before the caller gets it."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class WholeAnswer:
-    """A worker's answer as the caller may get it."""
+    """A complete worker answer, ready for the caller."""
 
     worker: str
     status: int
@@ -34,16 +34,16 @@
 
 @dataclass(kw_only=True)
 class PlainProgress:
-    """What is known after some attempts: the last failure that a worker answered, and doubts."""
+    """The outcome of the attempts so far, and whether one of them may have run the request."""
 
     last_answer: WholeAnswer | None = None
     may_have_run: bool = False
     code: Code = Code.NO_UPSTREAM
-    detail: str = "no worker is known to be usable"
+    detail: str = "no usable worker is known"
 
 
 async def run_plain(run: RequestRun) -> None:
-    """Send the request until a worker answers it or its limits are reached."""
+    """Send the request until a worker answers it or no further attempt is allowed."""
     progress = PlainProgress()
     while run.time_left_s > 0.0:
         admission = await admit(run)
@@ -108,10 +108,10 @@
     body = await call.read_body(run.time_left_s)
     if verdict in (Verdict.NOT_RUN, Verdict.WRONG_WORKER):
         call.record_rejection(verdict)
-        progress.code, progress.detail = Code.NO_CAPACITY, f"worker said {verdict.value}"
+        progress.code, progress.detail = Code.NO_CAPACITY, f"worker rejection: {verdict.value}"
         return None
     if verdict is Verdict.ANSWERED and not speak.is_genuine(head):
-        raise ConnectionBrokenError("a success without the worker's proof")
+        raise ConnectionBrokenError("success response lacks proof that the worker sent it")
     answer = WholeAnswer(
         worker=call.worker.id,
         status=head.status,
@@ -129,7 +129,7 @@
 
 
 def _implies_not_run(answer: WholeAnswer) -> bool:
-    """A status that tells callers that nothing ran, on an answer that does not say so."""
+    """Whether callers take the status to mean that nothing ran, which the answer does not state."""
     return answer.status in (408, 421, 429, 503)
 
 
--- a/src/croftchute/forwarding/workers/prompt_cache_lookup.py
+++ b/src/croftchute/forwarding/workers/prompt_cache_lookup.py
@@ -1,7 +1,7 @@
-"""Finds the decode worker that still keeps the prompt of a stream whose caller has come back.
+"""Finds the decode worker that still caches the prompt of a stream that a caller resumes.
 
-A box that was restarted has forgotten where its streams ran, and a caller may come back at another
-box. The workers know: each lists the prompt parts that it keeps.
+A restarted box no longer knows where its streams ran, and a caller may resume at another box. The
+workers know: each lists the prompt parts in its cache.
 """
 
 from __future__ import annotations
@@ -18,12 +18,12 @@
 from croftchute.tables.routing import Stage
 
 MAX_WORKERS_QUERIED = 16
-"""Most decode workers that are asked about one prompt, those that it prefers: a list holds its
-worker up for a moment. A choice looks at 12 of those that are not full."""
+"""Most decode workers that are queried about one prompt, in its order of affinity. Listing its
+cache delays a worker for a moment. A choice of a worker compares 12 that are not full."""
 
 
 async def find_cached_worker(run: RequestRun) -> str | None:
-    """The id of the decode worker that keeps the prompt's own part; None if none is found."""
+    """Return the id of the decode worker that caches most of the prompt's own part, or None."""
     part = run.facts.own_part
     usable = run.state.workers.usable(run.service, run.now, stage=Stage.DECODE)
     if not part or run.engine is None:
@@ -44,7 +44,7 @@
 
 
 async def _fetch_cached_tokens(run: RequestRun, belief: WorkerBelief, part: str) -> int:
-    """How much of a prompt part a worker keeps; 0 if it does not tell in time."""
+    """Return the tokens of a prompt part that a worker caches; 0 if it does not answer in time."""
     try:
         kept = await fetch_cached_parts(run.state, belief.worker)
     except (ExchangeError, MessageError) as error:
--- a/src/croftchute/forwarding/workers/prompt_prefill.py
+++ b/src/croftchute/forwarding/workers/prompt_prefill.py
@@ -1,4 +1,4 @@
-"""The prompt of a streaming request: read ahead by a prefill worker, its handle kept till used."""
+"""Prefill of a streaming request's prompt at a prefill worker, and the handle to its result."""
 
 from __future__ import annotations
 
@@ -25,14 +25,14 @@
 from croftchute.tables.routing import Stage
 
 MAX_PREFILL_ATTEMPTS = 2
-"""Prefill workers asked for one prompt: a second only if the first surely read nothing."""
+"""Prefill workers asked for one prompt: a second one only if the first certainly ran nothing."""
 
 HANDLE_USABLE_FRACTION = 0.8
-"""Share of the time that a handle is kept within which another decode worker may still take it."""
+"""Fraction of a handle's lifetime within which another decode worker may still fetch it."""
 
 
 class PromptPrefill:
-    """Has one request's prompt read once, and keeps the handle while no decode worker took it."""
+    """Prefills a prompt at most once, and keeps the handle until a decode worker has fetched it."""
 
     def __init__(self, *, run: RequestRun) -> None:
         self.run = run
@@ -43,11 +43,11 @@
         self._rejections = 0
 
     async def prefill_for(self, decode: WorkerBelief) -> PrefillHandle | None:
-        """A handle for a decode worker; None if that worker must read the prompt itself.
+        """Return a handle for a decode worker; None if that worker prefills the prompt itself.
 
-        The decode worker itself reads where it keeps the prompt (``cached_worker_id``), or where
-        that is quicker. Else the prompt is read ahead, once; a handle that was not taken serves
-        the next decode worker as long as it is kept.
+        The decode worker prefills if it has the prompt in its cache (``cached_worker_id``) or if
+        that is faster. Otherwise a prefill worker does, once. A handle that was not fetched is
+        offered to the next decode worker until shortly before it expires.
         """
         run = self.run
         if decode.worker.id == self.cached_worker_id:
@@ -75,7 +75,7 @@
     async def _choose(
         self, decode: WorkerBelief, *, may_probe: bool
     ) -> tuple[WorkerBelief, ChoiceInput] | None:
-        """A prefill worker near a decode worker; one round of probes at most for a request."""
+        """Choose a prefill worker near a decode worker; probe at most once for a request."""
         run = self.run
         near = decode.worker.zone
         if not selects_by_completion_time(run.state, run.service):
@@ -87,22 +87,22 @@
         )
 
     def mark_handle_used(self) -> None:
-        """A decode worker has taken the handle."""
+        """Record that a decode worker has fetched the handle."""
         self.unused_handle = None
 
     def invalidate_handle(self) -> None:
-        """A decode worker may have taken the handle: it serves no other one."""
+        """Offer the handle to no other worker: a decode worker may have fetched it."""
         self._handle_expires_at = 0.0
 
     def release_unused_handle(self) -> None:
-        """Free the handle if no decode worker took it."""
+        """Release the handle if no decode worker fetched it."""
         if self.unused_handle is not None:
             state = self.run.state
             state.spawn(release_handle(state, self.unused_handle, self.run.facts.id))
             self.unused_handle = None
 
     def _may_retry(self) -> bool:
-        """Whether another prefill worker may be asked, after one that surely read nothing."""
+        """Whether another prefill worker may be asked after one that certainly ran nothing."""
         run = self.run
         if run.now - run.started_at > patience.prefill_retry_limit(run.route):
             return False
@@ -125,7 +125,7 @@
     def _is_prefill_worker_faster(
         self, prefill: WorkerBelief, chosen: ChoiceInput, decode: WorkerBelief
     ) -> bool:
-        """Whether the prefill worker's queue is short enough to read the prompt there."""
+        """Whether the prefill worker is reachable and its queue short enough to be faster."""
         run = self.run
         times = self._reading_times(prefill, chosen, decode)
         is_unreachable = run.now < prefill.unreachable_until
@@ -186,7 +186,7 @@
         taken_s = run.now - call.opened_at
         end = call.chosen.end
         working_s = taken_s - end.wait_s if end is not None and end.wait_s < taken_s else taken_s
-        # The fitted pace is that of an engine of the usual speed.
+        # The fitted pace is for an engine of usual speed, so this engine's own pace is divided out.
         usual_s = working_s / end.pace if end is not None else working_s
         run.state.demand(run.service).note_prefill(run.facts.prompt_tokens, usual_s)
         pace = run.state.prefill_pace(run.service)
--- a/src/croftchute/forwarding/workers/queue_gauges.py
+++ b/src/croftchute/forwarding/workers/queue_gauges.py
@@ -1,4 +1,4 @@
-"""Gauges of the order for room and of the paces of workers, set anew at each sweep."""
+"""Gauges of requests that queue for decode memory and of workers' paces."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 from croftchute.systems.room_order import OrderWay
 
 MAX_WORKER_PACES = 64
-"""Workers whose pace is shown: bounds the series of a box. The first by id, the same at all boxes,
-as a choice by pace would end and begin series all the time."""
+"""Most workers whose pace is exported, which bounds the series of a box. They are the first by id,
+the same at all boxes: a selection by pace would start and end series all the time."""
 
 Series = tuple[dict[str, str], float]
 
 
 def update_queue_gauges(state: ForwardingState, now: float) -> None:
-    """Set the gauges of waiting requests, their mean wait, and the pace of each worker."""
+    """Set the gauges of waiting requests, their mean wait and each worker's pace."""
     metrics = state.metrics
     ordered = list(_queued_services(state))
     replace_values(metrics.room_waiting, _waiting(state, ordered))
@@ -26,7 +26,7 @@
 
 
 def _queued_services(state: ForwardingState) -> Iterator[str]:
-    """Services of the configuration in force whose streams have waited in an order here."""
+    """Yield the configured services whose streams have queued by rank at this box."""
     configured = state.table.services_by_name if state.table is not None else {}
     for service in state.ranked_room_by_service:
         if service in configured and state.room_order(service) is not OrderWay.UNORDERED:
@@ -34,7 +34,7 @@
 
 
 def _waiting(state: ForwardingState, services: list[str]) -> Iterator[Series]:
-    """Requests that wait at this box; 0 for ranks of the configuration of which none does."""
+    """Yield the waiting requests of this box by rank; 0 for configured ranks without any."""
     for service in services:
         waiting = state.ranked_room(service).waiting()
         for rank in sorted({*range(0, 2 * state.request_ranks(service).count, 2), *waiting}):
@@ -42,7 +42,7 @@
 
 
 def _mean_waits(state: ForwardingState, services: list[str]) -> Iterator[Series]:
-    """The mean wait in seconds by which requests of each rank decide, as known at this box."""
+    """Yield the mean wait in seconds, by rank, that requests at this box decide by."""
     for service in services:
         view = state.room_view(service)
         for rank in range(0, 2 * state.request_ranks(service).count, 2):
@@ -50,7 +50,7 @@
 
 
 def _paces(state: ForwardingState, now: float) -> Iterator[Series]:
-    """The paces of listed workers of which something was heard; 1 is usual."""
+    """Yield the known paces of listed workers; 1 is the usual pace."""
     beliefs_by_id = state.workers.beliefs_by_id
     known = sorted(worker_id for worker_id in beliefs_by_id if state.paces.is_known(worker_id))
     for worker_id in known[:MAX_WORKER_PACES]:
--- a/src/croftchute/forwarding/workers/queue_reporting.py
+++ b/src/croftchute/forwarding/workers/queue_reporting.py
@@ -1,4 +1,4 @@
-"""What operators see of one request's place in the order for room: log fields and counters."""
+"""Log fields and counters about a request's place in the queue for decode memory."""
 
 from __future__ import annotations
 
@@ -10,17 +10,17 @@
     from croftchute.forwarding.workers.request_run import RequestRun
 
 HELD_BACK = "held_back"
-"""Cause of a refusal: more urgent requests waited, and the request asked no engine at last."""
+"""Cause of a refusal: the request yielded to more urgent ones, and asked no engine last time."""
 
 NO_ROOM = "no_room"
-"""Cause of a refusal: no engine that was asked at last had room."""
+"""Cause of a refusal: none of the engines asked last had room."""
 
 
 def queue_log_fields(run: RequestRun) -> dict[str, object]:
-    """The request's place in the order for room, for the log; empty where there is none.
+    """Return log fields on the request's place in the queue; empty if it does not queue by rank.
 
-    ``entry_age_s`` is the age of the newest news that the entry rank waits, in seconds. ``share``
-    and ``used`` are fractions of the memory that is granted, given while that is scarce.
+    ``entry_age_s`` is the age in seconds of the newest report that the entry rank waits. ``share``
+    and ``used`` are fractions of the granted memory, present only while memory is scarce.
     """
     if not run.is_ordered:
         return {}
@@ -38,7 +38,7 @@
 
 
 def count_room_refusal(run: RequestRun, code: Code, ran: Ran) -> None:
-    """Count a refusal of an ordered stream, if it was room that lacked."""
+    """Count a refusal of a stream that queues by rank, if it was for lack of room."""
     if code is not Code.NO_CAPACITY or ran is not Ran.NOT_RUN or not run.is_ordered:
         return
     if not run.is_held_back and not run.full_workers:
@@ -53,7 +53,7 @@
 
 
 def count_over_share(run: RequestRun) -> None:
-    """Count a request whose organisation is over its share; each request once."""
+    """Count a request whose organisation is over its share, once for each request."""
     if run.share.is_over and not run.is_counted_over_share:
         run.is_counted_over_share = True
         run.state.metrics.over_share.inc({"service": run.service})
--- a/src/croftchute/forwarding/workers/request_run.py
+++ b/src/croftchute/forwarding/workers/request_run.py
@@ -1,4 +1,4 @@
-"""One request on its way: its facts, its limits, its choices, and how it ends."""
+"""The state of one request: its facts, deadline and worker choices, and how it ends."""
 
 from __future__ import annotations
 
@@ -23,11 +23,11 @@
 from croftchute.tables.routing import EngineTraits, RequestFacts, Route, RouteKind, Stage
 
 MAX_CONNECT_FAILURES = 4
-"""Workers to which no connection came up before a request is given up."""
+"""Most failed connection attempts before no further worker is tried for a request."""
 
 
 class RequestRun:
-    """The state of one request; a ``WorkerCall`` does one sending of it."""
+    """The state of one request; a ``WorkerCall`` is one attempt at one worker."""
 
     def __init__(
         self,
@@ -68,29 +68,29 @@
 
     @property
     def now(self) -> float:
-        """The present time of the process's steady clock."""
+        """The current time of the process's monotonic clock."""
         return self.state.clock()
 
     @property
     def digest(self) -> str:
-        """What all tries of this request have in common, worked out once."""
+        """A digest that all attempts of this request share, computed once."""
         if not self._digest:
             self._digest = self.facts.digest
         return self._digest
 
     @property
     def prefill_digest(self) -> str:
-        """The same of its prompt's reading ahead, which other workers do: one may be sound."""
+        """A separate digest for the prefill: it may be safe where decode crashes, or vice versa."""
         return f"{self.digest}-read"
 
     @property
     def crashes_workers(self) -> bool:
-        """Whether the request is refused as one that ends the workers that run it."""
+        """Whether the request is refused because workers crashed while they ran it."""
         return self._crash_refusal_s > 0.0
 
     @property
     def crashes_prefill_workers(self) -> bool:
-        """Whether its prompt is not read ahead, as workers ended that did so."""
+        """Whether prefill workers are avoided because some crashed on this prompt."""
         crashes = self.state.crashes
         return crashes.may_refuse and crashes.refused_s(self.prefill_digest, self.now) > 0.0
 
@@ -101,21 +101,21 @@
 
     @property
     def engine(self) -> EngineTraits | None:
-        """What the engines of the request's service have in common; None if it has none."""
+        """The traits that the engines of the service share; None if it has no engines."""
         table = self.state.table
         service = table.services_by_name.get(self.service) if table is not None else None
         return service.engine if service is not None else None
 
     @property
     def priority(self) -> int:
-        """The request's rank, 0 first: its organisation's if that has one, else its route's."""
+        """The organisation's priority if it has one, else the route's; 0 is the most urgent."""
         if self.organisation is not None and self.organisation.priority is not None:
             return self.organisation.priority
         return self.route.priority
 
     @property
     def rank(self) -> int:
-        """The place among the streams to the service, 0 first; the priority where it has none."""
+        """The rank among the service's streams, 0 first; the priority if it is not ordered."""
         if not self.is_ordered:
             return self.priority
         organisation = self.organisation
@@ -124,20 +124,20 @@
 
     @property
     def is_ordered(self) -> bool:
-        """Whether the request waits for room in an order by rank."""
+        """Whether the request queues for decode memory by rank."""
         is_stream = self.route.kind is RouteKind.STREAM
         return is_stream and self.state.room_order(self.service) is not OrderWay.UNORDERED
 
     @property
     def mean_room_wait_s(self) -> float:
-        """How long requests like this one wait for room on average."""
+        """The mean time that requests like this one wait for room at a decode worker."""
         if not self.is_ordered:
             return self.state.mean_room_wait_s(self.service)
         return self.state.room_view(self.service).mean_wait_s(self.room_rank)
 
     @property
     def room_rank(self) -> int:
-        """The rank by which the request waits for room."""
+        """The rank by which the request queues for room."""
         ranks = self.state.request_ranks(self.service)
         return room_rank(
             self.rank,
@@ -148,33 +148,33 @@
 
     @property
     def share(self) -> ShareVerdict:
-        """What the request's organisation has of the service's decode memory."""
+        """How the organisation's use of the service's decode memory compares with its share."""
         if not self.facts.organisation:
             return ShareVerdict()
         return self.state.share_verdict(self.service, self.facts.organisation)
 
     @property
     def target_left_s(self) -> float:
-        """Seconds until an answer would be late that begins with the reading of the prompt."""
+        """Seconds left to start the prefill so that the answer begins within its target."""
         reading_s = self.state.prefill_pace(self.service).reading_s(self.facts.prompt_tokens)
         elapsed_s = self.earlier_tries_s + self.now - self.started_at
         return self.route.target_s - elapsed_s - reading_s
 
     @property
     def time_left_s(self) -> float:
-        """How long the caller still waits."""
+        """Seconds until the caller's deadline."""
         return max(0.0, self.deadline_at - self.now)
 
     @property
     def rest_left_s(self) -> float:
-        """When the first worker takes work again, if all that could serve the request rest."""
+        """Seconds until a worker accepts work again, if all rest or are at a limit; else 0."""
         stage = Stage.DECODE if self.engine is not None else None
         return self.state.workers.rest_left_s(self.service, self.now, stage=stage)
 
     def choose(
         self, stage: Stage | None, *, near: str = ""
     ) -> tuple[WorkerBelief, ChoiceInput] | None:
-        """A worker for the next sending, within the route's attempts; best in the zone ``near``."""
+        """Choose a worker for the next attempt, preferably in the zone ``near``."""
         candidates = self.candidates(stage)
         if selects_by_completion_time(self.state, self.service):
             return self.completion_time_selector(stage, near=near).select(candidates)
@@ -188,7 +188,7 @@
         )
 
     def candidates(self, stage: Stage | None) -> list[WorkerBelief]:
-        """Workers that the next sending may go to, those to be avoided among them."""
+        """Return the workers that the next attempt may use, including those to avoid."""
         if self.connect_failures >= MAX_CONNECT_FAILURES:
             return []
         candidates = self.state.workers.usable(self.service, self.now, stage=stage)
@@ -201,7 +201,7 @@
     def completion_time_selector(
         self, stage: Stage | None, *, near: str = ""
     ) -> CompletionTimeSelector:
-        """A choice by predicted end for the next sending."""
+        """Return a selector by completion time for the next attempt."""
         around = self.surroundings(stage, near=near)
         return CompletionTimeSelector(
             request=self, stage=stage, around=around, avoid=self.avoid | self.full_workers
@@ -209,14 +209,14 @@
 
     @property
     def is_large(self) -> bool:
-        """Whether the request needs most of an engine of its service."""
+        """Whether the request needs most of the memory of an engine."""
         engine = self.engine
         if engine is None:
             return False
         return is_large(self.facts.prompt_tokens + self.facts.likely_output, engine.kv_tokens)
 
     def _within_size_lane(self, candidates: list[WorkerBelief]) -> list[WorkerBelief]:
-        """The decode workers that requests of this size may have."""
+        """Return the decode workers that requests of this size may use."""
         engine = self.engine
         if engine is None or self.state.ways.room is RoomWay.BLIND:
             return candidates
@@ -228,13 +228,13 @@
         )
 
     def has_other_worker(self, stage: Stage | None) -> bool:
-        """Whether there is a worker besides the last one that did not fail this request."""
+        """Whether there is another worker than the last one that has not failed this request."""
         usable = self.state.workers.usable(self.service, self.now, stage=stage)
         passed_over = self.avoid | {self.last_worker}
         return any(belief.worker.id not in passed_over for belief in usable)
 
     def surroundings(self, stage: Stage | None, *, near: str = "") -> Surroundings:
-        """What a choice for this request goes by, besides the workers."""
+        """Return what a choice of a worker depends on, apart from the workers themselves."""
         full_tokens = 0
         if (engine := self.engine) is not None:
             is_prefill = stage is Stage.PREFILL
@@ -243,15 +243,15 @@
         return Surroundings(zone=zone, peers=self.state.peers, kv_tokens=full_tokens)
 
     def describe(self, belief: WorkerBelief, *, candidates: int) -> ChoiceInput:
-        """What is known of a worker that was not chosen by cost."""
+        """Describe a worker that was not chosen by cost, for the log."""
         return describe(
             belief, self.surroundings(belief.worker.stage), self.now, candidates=candidates
         )
 
     async def acquire_permit(self, belief: WorkerBelief, *, calls: int = 1) -> bool:
-        """Leave for calls of a chosen worker; False if it may not be used now after all.
+        """Acquire permits for calls of a chosen worker; False if it may not be used now.
 
-        A request that others could serve does not wait for it.
+        The request only waits for permits if no other worker could serve it.
         """
         state = self.state
         worker = belief.worker
@@ -266,13 +266,13 @@
         )
         may_call = await state.permits.acquire(worker, permit_request)
         if may_call and wishes.told_by(worker.id, self.now) != told_before:
-            # It said so while the permit was asked for: it is chosen anew, or another one.
+            # The worker sent a new signal during the wait for the permit, so choose again.
             state.permits.release(worker, calls)
             return False
         return may_call
 
     def permit_request(self, *, calls: int = 1, patience_s: float = 0.0) -> PermitRequest:
-        """What the request asks of a worker that names a limit."""
+        """Return the permit request for calls of a worker that states a rate limit."""
         rank = self.rank
         if not self.is_ordered:
             rank = max(0, rank - self.state.most_urgent(self.service))
@@ -281,9 +281,10 @@
         )
 
     def spend_retry_budget(self) -> bool:
-        """Take a repeat out of the budget; the first sending needs none.
+        """Take one retry from the service's budget; return whether the request may be sent.
 
-        Nothing is sent on that ends workers: another box may have seen the third one end meanwhile.
+        The first attempt needs no budget. A request that crashes workers isn't sent again: another
+        box may have seen the third crash in the meantime.
         """
         if self.crashes_workers:
             return False
@@ -302,14 +303,14 @@
         return False
 
     def log(self, kind: Decision, *, outcome: str = "", **inputs: object) -> None:
-        """Write a line about this request."""
+        """Log one decision about this request."""
         elapsed_ms = round((self.now - self.started_at) * 1000, 1)
         self.state.log.decide(
             kind, request_id=self.facts.id, outcome=outcome, elapsed_ms=elapsed_ms, **inputs
         )
 
     def record_answered(self, status: int, worker: str) -> None:
-        """Log and count an answer that the caller has in whole."""
+        """Log and count an answer that the caller has received in full."""
         now = self.now
         outcome = "ok" if status < 400 else f"status_{status}"
         labels = {"route": self.route.name}
@@ -331,16 +332,16 @@
     def refuse(
         self, code: Code, ran: Ran, detail: str, *, expected_wait_s: float | None = None
     ) -> None:
-        """Give the request up: the final answer goes out at once.
+        """Send the caller a refusal, and log and count it.
 
-        ``expected_wait_s`` is when it will likely be served, if that is known.
+        ``expected_wait_s`` is the time after which the request is likely to be served, if known.
         """
         if self.crashes_workers and ran is Ran.NOT_RUN:
             code, detail = Code.ENDS_WORKERS, self._crash_detail()
         self.has_not_run = ran is Ran.NOT_RUN
         lacks_worker = code in (Code.NO_UPSTREAM, Code.NO_CAPACITY) and ran is Ran.NOT_RUN
         if lacks_worker and (rest_left_s := self.rest_left_s) > 0.0:
-            detail = "all workers asked for rest, or take no more calls for now"
+            detail = "all workers asked for rest or have reached their rate limit"
             expected_wait_s = rest_left_s
         retry_after_s = None
         if expected_wait_s is not None:
@@ -383,10 +384,10 @@
 
     def _crash_detail(self) -> str:
         lives = self.state.crashes.lives_ended(self.digest)
-        return f"{lives} workers ended under this request of the same caller"
+        return f"{lives} workers crashed while running this request of the same caller"
 
     def abort_answer(self, reason: str) -> None:
-        """Break a begun answer off, so that it cannot look whole."""
+        """Abort an answer that has started, so that it can't be taken for a complete one."""
         self.exchange.abort()
         labels = {"route": self.route.name, "outcome": "broken"}
         self.state.metrics.requests.inc(labels)
--- a/src/croftchute/forwarding/workers/room_wait_policy.py
+++ b/src/croftchute/forwarding/workers/room_wait_policy.py
@@ -1,4 +1,4 @@
-"""How one request waits for decode memory: when it asks, and what others learn of its wait."""
+"""How a request waits for decode memory: when it asks, and which statistics it updates."""
 
 from __future__ import annotations
 
@@ -12,35 +12,35 @@
 
 
 class RoomWaitPolicy(Protocol):
-    """One request's wait; always end it with :meth:`close`."""
+    """The wait of one request; always end it with :meth:`close`."""
 
     def may_ask(self, now: float) -> bool:
-        """Whether the request asks for room now, or leaves what there is to others."""
+        """Whether the request asks for room now instead of yielding to others."""
         ...
 
     def may_ask_finally(self) -> bool:
-        """Whether a request that is about to be refused asks once more."""
+        """Whether a request that is about to be refused asks one last time."""
         ...
 
     def pause_s(self, now: float) -> float:
-        """Seconds until the request looks again."""
+        """Return the seconds until the request checks again."""
         ...
 
     def waited(self, seconds: float, now: float) -> None:
-        """The request waited, and has no room yet."""
+        """Record a wait after which the request still has no room."""
         ...
 
     def granted(self, now: float) -> None:
-        """The request got room."""
+        """Record that the request got room."""
         ...
 
     def close(self) -> None:
-        """The request waits no longer, whatever came of it."""
+        """Record that the request no longer waits, with or without room."""
         ...
 
 
 class PollingWait:
-    """Asks again at one interval, whoever else waits."""
+    """Asks at a fixed interval, regardless of other waiting requests."""
 
     def __init__(self, *, history: RoomHistory, poll_s: float) -> None:
         self.history = history
@@ -48,35 +48,36 @@
         self._has_waited = False
 
     def may_ask(self, now: float) -> bool:
-        """It always does."""
+        """Always ask."""
         return True
 
     def may_ask_finally(self) -> bool:
-        """It has asked each time."""
+        """Return False: the request has asked every time."""
         return False
 
     def pause_s(self, now: float) -> float:
-        """The same each time."""
+        """Return the fixed interval."""
         return self.poll_s
 
     def waited(self, seconds: float, now: float) -> None:
-        """Counts for the forecast of all requests of the service."""
+        """Add the wait to the forecast for all requests of the service."""
         self._has_waited = True
         self.history.note_waited(seconds, now)
 
     def granted(self, now: float) -> None:
-        """Counts only after a wait: room that is there at once tells nothing of waits."""
+        """Add a grant to the forecast after a wait; an immediate one says nothing about waits."""
         if self._has_waited:
             self.history.note_granted(now)
 
     def close(self) -> None:
-        """Nothing is held."""
+        """Do nothing: no state outlives the wait."""
 
 
 class RequestUsage:
-    """What one request asks for and gets, counted for its organisation once.
+    """Counts the tokens that a request asks for and is granted, once for its organisation.
 
-    A request that no worker took in the end asks for room again.
+    A request asks for room again if the worker that granted it did not accept the request. Only the
+    first ask and the first grant count.
     """
 
     def __init__(self, *, run: RequestRun) -> None:
@@ -87,14 +88,14 @@
         self._has_room = False
 
     def asked(self, now: float) -> None:
-        """The request asks for room."""
+        """Count the request's tokens as asked for."""
         if self._organisation and self._asked_at is None:
             self._asked_at = now
             use = self.run.state.organisation_use(self.run.service)
             use.note_asked(self._organisation, self._tokens, now)
 
     def granted(self, now: float) -> None:
-        """The request got room."""
+        """Count the request's tokens as granted."""
         if self._asked_at is not None and not self._has_room:
             self._has_room = True
             use = self.run.state.organisation_use(self.run.service)
@@ -102,7 +103,7 @@
 
 
 class RankedWait:
-    """Asks the more often the more urgent it is, and leaves room to more urgent requests."""
+    """Yields to more urgent requests, and asks more often the more urgent the request is."""
 
     def __init__(self, *, run: RequestRun, usage: RequestUsage) -> None:
         self.run = run
@@ -114,7 +115,7 @@
         usage.asked(run.now)
 
     def may_ask(self, now: float) -> bool:
-        """Whether no more urgent rank waits too long; once, before it is late, all the same."""
+        """Whether no more urgent rank waits too long; once before the target, in any case."""
         run = self.run
         count_over_share(run)
         way = run.state.room_order(run.service)
@@ -127,16 +128,16 @@
         return may_ask
 
     def may_ask_finally(self) -> bool:
-        """Whether it held back all the time: no rank is shut out by the waits of another."""
+        """Whether it has never asked: no rank is starved by the waits of more urgent ones."""
         may_ask = not (self._has_asked or self._had_last_chance)
         self._had_last_chance = True
         return may_ask
 
     def pause_s(self, now: float) -> float:
-        """By the rank, and not beyond the moment at which it would be late."""
+        """Return the pause of the request's rank, cut short at its last chance to be in time."""
         run = self.run
         self._count_as_waiting(run.room_rank)
-        # One that is late already leaves room to others.
+        # A late request yields room to others, so its target does not shorten the pause.
         target_s = run.route.target_s if run.target_left_s > 0.0 else math.inf
         pause_s = room_order.pause_s(run.room_rank, target_s=target_s)
         left_s = run.target_left_s - room_order.LAST_CHANCE_S / 2
@@ -145,22 +146,22 @@
         return min(pause_s, max(room_order.SHORTEST_PAUSE_S, left_s))
 
     def waited(self, seconds: float, now: float) -> None:
-        """Counts for the forecast of its rank, and of all less urgent ones."""
+        """Add the wait to the forecast for its rank and all less urgent ones."""
         if self._rank is not None:
             self.room.note_waited(self._rank, seconds, now)
 
     def granted(self, now: float) -> None:
-        """Counts for the forecast only after a wait."""
+        """Add the grant to the forecast, if the request has waited."""
         if self._rank is not None:
             self.room.note_granted(self._rank, now)
         self.usage.granted(now)
 
     def close(self) -> None:
-        """It is not among those that wait any more."""
+        """Remove the request from those that wait."""
         self._count_as_waiting(None)
 
     def _count_as_waiting(self, rank: int | None) -> None:
-        """Count the request among those that wait with a rank, which may change meanwhile."""
+        """Count the request as waiting by ``rank``, which may change during the wait."""
         if rank == self._rank:
             return
         if self._rank is not None:
--- a/src/croftchute/forwarding/workers/stream_run.py
+++ b/src/croftchute/forwarding/workers/stream_run.py
@@ -1,4 +1,4 @@
-"""Requests whose answer is a stream of events: prefill, decode, and going on elsewhere."""
+"""Requests whose answer is a stream of events: prefill, decode and failover."""
 
 from __future__ import annotations
 
@@ -33,9 +33,10 @@
 
 @dataclass(kw_only=True)
 class StreamProgress:
-    """How far the stream has come at the caller, and what is known of its attempts.
+    """How much of the stream the caller has received, and the state of the attempts.
 
-    ``may_retry_at_once``: a refused reading took the last attempt; the next try needs none.
+    ``may_retry_at_once``: a rejected prefill used up the last attempt. The caller's next try needs
+    no prefill worker, so it may come at once.
     """
 
     last_event: int | None
@@ -44,13 +45,13 @@
     is_complete: bool = False
     is_answered: bool = False
     code: Code = Code.NO_UPSTREAM
-    detail: str = "no worker is known to be usable"
+    detail: str = "no usable worker is known"
     serving_worker: str = ""
     may_retry_at_once: bool = False
 
 
 class StreamRun:
-    """One streaming request: at most one prefill ahead, then attempts at decode workers."""
+    """One streaming request: at most one separate prefill, then attempts at decode workers."""
 
     def __init__(self, *, run: RequestRun) -> None:
         self.run = run
@@ -59,7 +60,7 @@
         self.reservation = DecodeReservation(run=run)
 
     async def serve(self) -> None:
-        """Run the stream to its end, or give it up."""
+        """Run the stream to its end, or refuse or abort it."""
         try:
             await self._run_attempts()
         finally:
@@ -82,7 +83,7 @@
         if engine is not None and not patience.can_ever_fit(facts.prompt_tokens, engine.kv_tokens):
             self.progress.code = Code.PROMPT_TOO_LONG
             self.progress.detail = (
-                f"a prompt of {facts.prompt_tokens} tokens; an engine keeps {engine.kv_tokens}"
+                f"prompt has {facts.prompt_tokens} tokens; an engine holds {engine.kv_tokens}"
             )
             return
         run.state.demand(run.service).note_ask(
@@ -102,7 +103,7 @@
                 return
             source = await self.prefill.prefill_for(found[0])
             if run.state.workers.wishes.rest_left_s(found[0].worker.id, run.now) > 0.0:
-                # It asked for rest while the prompt was read: its room is left for another's.
+                # The worker asked for rest during the prefill: reserve at another one.
                 self.reservation.release_unused()
                 continue
             if len(run.workers_sent_to) >= run.route.max_attempts and (
@@ -121,12 +122,12 @@
         return progress.may_have_run and not self.run.route.may_repeat
 
     def _are_prefill_workers_resting(self) -> bool:
-        """Whether prompts are read by decode workers alone, as those that read ahead rest."""
+        """Whether only decode workers prefill, as the prefill workers asked for rest."""
         run = self.run
         return run.state.workers.rest_left_s(run.service, run.now, stage=Stage.PREFILL) > 0.0
 
     def _note_refusal_cause(self) -> None:
-        """Keep why no worker had room, for the caller's answer if none is found."""
+        """Keep the reason why no worker had room, for a refusal."""
         if self.reservation.code is not None:
             self.progress.code = self.reservation.code
         if self.reservation.detail:
@@ -136,8 +137,6 @@
         self.prefill.release_unused_handle()
         self.reservation.release_unused()
 
-    # Decode.
-
     async def _decode(
         self, belief: WorkerBelief, chosen: ChoiceInput, source: PrefillHandle | None
     ) -> None:
@@ -186,7 +185,7 @@
         verdict = run.state.workers_speak.verdict(head)
         if verdict is Verdict.ANSWERED:
             if not run.state.workers_speak.is_genuine(head):
-                raise ConnectionBrokenError("a success without the worker's proof")
+                raise ConnectionBrokenError("success response lacks proof that the worker sent it")
             self.prefill.mark_handle_used()
             await self._relay_stream(call, head, wait_s)
             return
@@ -195,7 +194,7 @@
             self._handle_failure(call, head, body)
             return
         self.progress.code = Code.NO_CAPACITY
-        self.progress.detail = f"worker said {verdict.value}"
+        self.progress.detail = f"worker rejection: {verdict.value}"
         if source is not None and verdict is Verdict.NOT_RUN:
             call.record_cache_fetch_failure(source)
             self._release_unused()
@@ -225,7 +224,7 @@
         progress = self.progress
         progress.may_have_run = True
         progress.code = Code.UPSTREAM_FAILED
-        progress.detail = f"worker answered {head.status}"
+        progress.detail = f"worker answered with status {head.status}"
         if self._can_fail_over() or self.run.exchange.is_started:
             return
         if head.status in (408, 421, 429, 503):
@@ -256,7 +255,7 @@
                     await call.wait_for_caller()
                     chunks.mark_resumed()
         if splitter.leftover:
-            raise ConnectionBrokenError("stream ended inside an event")
+            raise ConnectionBrokenError("stream ended in the middle of an event")
         if not run.exchange.is_started:
             self._start_answer(call, head)
         call.record_success()
@@ -277,7 +276,7 @@
             if event.number is not None:
                 last = progress.last_event
                 if last is not None and event.number <= last:
-                    raise ConnectionBrokenError(f"event {event.number} after event {last}")
+                    raise ConnectionBrokenError(f"event {event.number} came after event {last}")
                 progress.last_event = event.number
             progress.event_count += 1
             data.append(event.data)
@@ -316,7 +315,7 @@
 
 
 async def run_stream(run: RequestRun) -> None:
-    """Serve one streaming request."""
+    """Serve one streaming request, and log it if the caller leaves."""
     stream = StreamRun(run=run)
     try:
         await stream.serve()
--- a/src/croftchute/forwarding/workers/worker_call.py
+++ b/src/croftchute/forwarding/workers/worker_call.py
@@ -143,7 +143,7 @@
         """Read the rest of the answer."""
         assert self.connection is not None
         return await within(
-            self.connection.read_body(MAX_ANSWER_BYTES), timeout_s, "body is incomplete"
+            self.connection.read_body(MAX_ANSWER_BYTES), timeout_s, "no complete body"
         )
 
     async def wait_for_caller(self) -> None:
--- a/tests/forwarding/workers/test_queue_gauges.py
+++ b/tests/forwarding/workers/test_queue_gauges.py
@@ -1,4 +1,4 @@
-"""Gauges of waiting requests, mean waits and paces: bounded, and without what no longer holds."""
+"""Gauges of waiting requests, mean waits and paces: bounded, and without outdated series."""
 
 from platform_fleet import bearer, config, fleet, organisation, run, until
 from rank_fleet import (
@@ -15,7 +15,7 @@
 
 
 def swept_metrics(box):
-    """The box's metrics after a sweep."""
+    """Update the gauges; return the box's metrics."""
     update_queue_gauges(box.state, box.state.clock())
     return box.state.metrics
 
@@ -24,8 +24,8 @@
     return {labels["room_rank"]: value for labels, value in gauge.get_all()}
 
 
-def test_waiting_requests_show_by_rank_until_they_are_served():
-    """Guards against a gauge that keeps its last value, or misses ranks of which none waits."""
+def test_waiting_requests_are_shown_by_rank_until_served():
+    """Guards against a gauge that keeps its last value, or lacks ranks without waiting requests."""
 
     async def body():
         async with fleet(config=ordered_config()) as made:
@@ -44,8 +44,8 @@
     run(body)
 
 
-def test_the_series_of_a_service_end_with_its_order():
-    """Guards against ranks of a configuration that is no longer in force."""
+def test_series_of_a_service_end_when_it_is_no_longer_ordered():
+    """Guards against series of ranks from a replaced configuration."""
 
     async def body():
         async with fleet(config=ordered_config()) as made:
@@ -66,8 +66,8 @@
     run(body)
 
 
-def test_paces_show_for_a_bounded_number_of_listed_workers(monkeypatch):
-    """Guards against series without bound, and against those of workers that are gone."""
+def test_paces_are_shown_for_a_bounded_number_of_listed_workers(monkeypatch):
+    """Guards against unbounded series, and against series of removed workers."""
     monkeypatch.setattr(queue_gauges, "MAX_WORKER_PACES", 2)
 
     async def body():
@@ -89,8 +89,8 @@
     run(body)
 
 
-def test_the_daemon_sets_the_gauges_by_itself():
-    """Guards against gauges that no sweep updates."""
+def test_daemon_updates_the_gauges_periodically():
+    """Guards against gauges that the daemon never updates."""
 
     async def body():
         async with fleet() as made:
@@ -103,8 +103,8 @@
     run(body)
 
 
-def test_a_request_over_its_organisation_s_share_is_counted_once_and_without_a_name():
-    """Guards against a count for each look at the room, and against a series for each caller."""
+def test_request_over_its_share_is_counted_once_without_its_organisation():
+    """Guards against a count for each ask for room, and against a series for each organisation."""
     flood = organisation("flood", "flood-key", RatePerS=1e6, Burst=1e9, PlainTokens=10)
 
     async def body():
