--- a/src/croftchute/forwarding/workers/stage_coordinator.py
+++ b/src/croftchute/forwarding/workers/stage_coordinator.py
@@ -1,8 +1,8 @@
-"""Giving stage orders: one box at a time, under a lease of the store and a rising token.
+"""Orders workers to change their stage, from one box at a time.
 
-Workers may not check fencing tokens, so a box that has taken the lease stays quiet for longer
-than an earlier holder's orders can be on their way, and makes sure that it still holds the lease
-just before each order.
+The box holds a lease in the store, and its orders carry an increasing fencing token. Workers may
+not check the token. So a box that has acquired the lease sends nothing for longer than an earlier
+holder's orders can be in transit, and checks just before each order that it still holds the lease.
 """
 
 from __future__ import annotations
@@ -24,62 +24,64 @@
 from croftchute.tables.routing import EngineTraits, RoutingTable, Service, Stage
 
 CHECK_INTERVAL_S = 0.5
-"""Seconds between two looks at what is wanted."""
+"""Seconds between two checks for needed stage changes."""
 
 MAX_FIRST_TRY_DELAY_S = 4.0
-"""Longest time after the start at which a box first tries for the lease: spreads the tries."""
+"""Longest random delay before a box first tries for the lease, which spreads the boxes' tries."""
 
 LEASE_KEY = "croftchute/stage-orders"
 
 SUCCESS_STATUSES = frozenset({200, 202})
-"""Statuses of an order that is carried out, or was before."""
+"""Statuses of an order that the worker carries out or has already carried out."""
 
 LEASE_TTL_S = 6.0
-"""Two renewals may be lost before the lease lapses."""
+"""Seconds until an unrenewed lease expires: two lost renewals are tolerated."""
 
 LEASE_RENEW_INTERVAL_S = 2.0
 """Seconds between renewals of the lease."""
 
 QUIET_MARGIN_S = 1.5
-"""Added to the time between two holders' orders: an order may be as long on its way."""
+"""Seconds added to the gap between two holders' orders: an order may be in transit that long."""
 
 MAX_LEASE_CHECK_S = 0.3
-"""Longest time between asking whether the lease is held and giving an order by the answer."""
+"""Longest time that a check of the lease may take before orders are sent on its result."""
 
 RETRY_DELAY_S = 3.0
-"""Seconds between two tries for the lease, and after a failed call."""
+"""Seconds between two tries for the lease, and before a retry after a failed call."""
 
 BATCH_INTERVAL_S = 1.0
-"""Seconds between two batches of orders: the list shows changes within about a second."""
+"""Seconds between two batches of orders: the worker list shows a change within about a second."""
 
 MAX_BATCH_SIZE = 8
-"""Most orders in one batch: connections and calls of one box at a time."""
+"""Most orders in one batch, which bounds the concurrent connections and calls of the box."""
 
 MAX_ORDER_PENDING_S = 14.0
-"""Seconds for which an order counts as on its way: one that got no answer may be carried out 12 s
-later, and the list tells of it some seconds after."""
+"""Seconds for which an order counts as pending. An unanswered order may be carried out 12 s later,
+and the worker list shows it some seconds after that."""
 
 MIN_NEED_S = 0.4
-"""Seconds for which a change to decode must have been wanted."""
+"""Seconds for which an urgent change, or one to decode, must have been needed."""
 
 MIN_PREFILL_NEED_S = 5.0
-"""The same for a change to prefill: a prefill worker that crashed is mostly back within 5 s. With
-``headroom`` for both: a change that a crash caused cannot be undone soon."""
+"""Seconds for which other changes must have been needed. A crashed prefill worker is mostly back
+within 5 s. With the ``headroom`` split this holds for changes to decode too, as a change that was
+caused by a crash can't be undone soon."""
 
 STATUS_ACCEPTED = 202
-"""Status of an order that the worker has begun to carry out: it takes no work until it is done."""
+"""Status of an order that the worker has started on; it takes no work until it has changed."""
 
 STAGE_CHANGE_MARGIN_S = 2.5
-"""Seconds beside the switch itself for which a changing worker is passed over, unless the list
-shows its new stage before: its streams end first, and the list tells of it within a second."""
+"""Seconds, added to the switch time, for which a changing worker gets no work unless the worker
+list shows its new stage earlier. Its streams end first, and the list shows the change within a
+second."""
 
 MAX_NEED_GAP_S = 1.5
-"""A need that was not seen for so many seconds begins anew."""
+"""Longest gap in seconds between two sightings of a need; after a longer one it counts as new."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class HeldLease:
-    """The time in which this box alone may give orders; ``token`` fences them."""
+    """A lease that lets this box alone give orders; ``token`` fences them."""
 
     token: int
     lease_id: int
@@ -88,14 +90,14 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class _PendingOrder:
-    """An order that is on its way, until the list shows it or it surely came to nothing."""
+    """An order that the worker list does not show yet and that may still be carried out."""
 
     stage: Stage
     sent_at: float
 
 
 class StageCoordinator:
-    """Holds the lease if it gets it, and carries out the stage changes that are wanted."""
+    """Competes for the lease, and while holding it orders the stage changes that are needed."""
 
     def __init__(
         self,
@@ -117,7 +119,7 @@
         self._headroom_by_service: dict[str, StageHeadroom] = {}
 
     async def run(self) -> None:
-        """Look again and again; never returns."""
+        """Check for needed changes periodically; never return."""
         self._next_try_at = (
             self.state.clock() + self.state.rng.uniform(0.25, 1.0) * MAX_FIRST_TRY_DELAY_S
         )
@@ -126,7 +128,7 @@
             await asyncio.sleep(CHECK_INTERVAL_S * self.state.rng.uniform(0.8, 1.2))
             if self.state.is_stopping:
                 continue
-            # What is wanted takes 0.6 ms to work out: boxes that could not order it leave it be.
+            # Finding the changes takes 0.6 ms, so boxes that could not order them skip it.
             may_order = self.held_lease is not None or self.may_acquire_lease()
             changes = self.find_changes() if may_order else []
             try:
@@ -143,7 +145,7 @@
                 )
 
     def find_changes(self) -> list[StageChange]:
-        """The changes that some service needs, as this box sees it."""
+        """Return the changes that the first service in need requires, one batch at most."""
         table = self.state.table
         if table is None:
             return []
@@ -158,7 +160,7 @@
     def _find_service_changes(
         self, table: RoutingTable, service: Service, traits: EngineTraits
     ) -> list[StageChange]:
-        """The changes that one service needs at the moment."""
+        """Return the changes that one service needs now."""
         beliefs = self._remaining_workers(service.name)
         counts = self.state.fleet_demand(service.name)
         pace = self.state.prefill_pace(service.name)
@@ -185,21 +187,21 @@
         return wanted_changes(beliefs, counts, power, ordered=ordered)
 
     def split_way(self, service: str) -> SplitWay:
-        """How the engines of a service are split at the moment; never ``auto``."""
+        """Return how the service's engines are currently split between stages; never ``auto``."""
         way = self.state.ways.split
         if way is not SplitWay.AUTO:
             return way
         return SplitWay.HEADROOM if self.state.tells_pace(service) else SplitWay.FIXED_USE
 
     def _remaining_workers(self, service: str) -> list[WorkerBelief]:
-        """The workers of a service that did not say that they leave."""
+        """Return the workers of a service that have not announced that they leave."""
         workers = self.state.workers
         return [
             b for b in workers.of_service(service) if not workers.wishes.is_leaving(b.worker.id)
         ]
 
     def _resting_stages(self, beliefs: list[WorkerBelief]) -> dict[str, Stage]:
-        """The stages of workers that rest: they count as they are, and get no order meanwhile."""
+        """Return the stages of resting workers; they count as they are, and get no orders."""
         now = self.state.clock()
         wishes = self.state.workers.wishes
         return {
@@ -209,14 +211,14 @@
         }
 
     def _prefill_limit_s(self, table: RoutingTable, service: str) -> float:
-        """The time in which prompts of a service should be read; 0 where that is not looked at."""
+        """Return the prefill time that a service aims for; 0 if its split ignores it."""
         targets = table.stream_targets(service)
         if self.split_way(service) is not SplitWay.BY_TARGET or not targets:
             return 0.0
         return READ_SHARE_OF_TARGET * min(targets)
 
     def _pending_stages(self) -> dict[str, Stage]:
-        """Stages of workers whose orders are on their way; forgets orders that are not."""
+        """Return the ordered stages of workers with pending orders; drop orders that are done."""
         now = self.state.clock()
         beliefs_by_id = self.state.workers.beliefs_by_id
         for worker_id, order in list(self._pending_orders.items()):
@@ -227,7 +229,7 @@
         return {worker_id: order.stage for worker_id, order in self._pending_orders.items()}
 
     def _is_sustained(self, change: StageChange) -> bool:
-        """Whether the same need has been seen for a while: workers that crash come back."""
+        """Whether a change has been needed for long enough, as crashed workers come back."""
         key = (change.worker.service, change.stage)
         now = self.state.clock()
         first, last = self._need_seen_by_change.get(key, (now, now))
@@ -237,16 +239,17 @@
         return now - first >= self._min_need_s(change)
 
     def _min_need_s(self, change: StageChange) -> float:
-        """For how long a change must have been wanted, in seconds."""
+        """Return the seconds for which a change must have been needed."""
         is_patient = self.split_way(change.worker.service) is SplitWay.HEADROOM
         if change.is_urgent or (change.stage is Stage.DECODE and not is_patient):
             return MIN_NEED_S
         return MIN_PREFILL_NEED_S
 
     async def _try_acquire_lease(self, *, is_first: bool, is_needed: bool) -> bool:
-        """Take the lease if nobody has it: once after the start, later when it is needed.
+        """Try to acquire a free lease, once after the start and later when changes are needed.
 
-        Only boxes that read the store try: each try is a call of it.
+        Each try is a call of the store, so only boxes that read the store try. Return the new value
+        of ``is_first``.
         """
         now = self.state.clock()
         if now < self._next_try_at or not (is_first or is_needed) or not self.may_acquire_lease():
@@ -282,7 +285,7 @@
         await self._send_orders(held_lease, changes)
 
     async def _send_orders(self, held_lease: HeldLease, changes: list[StageChange]) -> None:
-        """Give orders, if the lease is surely still held."""
+        """Send the orders if the lease is certainly still held."""
         now = self.state.clock()
         item = await self.store.item(LEASE_KEY)
         if item is None or item.revision != held_lease.token:
@@ -294,7 +297,7 @@
         await asyncio.gather(*(self._send_order(held_lease, change) for change in changes))
 
     async def _send_order(self, held_lease: HeldLease, change: StageChange) -> None:
-        """Give one order, and count it as on its way unless the worker refused it."""
+        """Send one order, and keep it as pending unless the worker refused it."""
         worker_id = change.worker.id
         order = _PendingOrder(stage=change.stage, sent_at=self.state.clock())
         self._pending_orders[worker_id] = order
@@ -315,7 +318,7 @@
             del self._pending_orders[worker_id]
             outcome = error.code.value
         except ExchangeError as error:
-            # It may still be carried out: it counts as if it had been answered.
+            # The order may still be carried out, so it stays pending.
             outcome = error.code.value
         headroom = self._headroom_by_service.get(change.worker.service)
         if headroom is not None and worker_id in self._pending_orders:
@@ -323,7 +326,7 @@
         self._log(outcome, change, held_lease)
 
     def _note_changing(self, change: StageChange) -> None:
-        """Give the worker no work until it has changed; peers hear of it in notices."""
+        """Give the worker no work until it has changed; peers are told in notices."""
         table = self.state.table
         service = table.services_by_name.get(change.worker.service) if table is not None else None
         if service is None or service.engine is None:
@@ -333,7 +336,7 @@
         self.state.workers.note_changing(change.worker.id, change.stage, now, for_s=for_s)
 
     def note_restored(self) -> None:
-        """The store came back from an older copy: a lease that it granted before is not held."""
+        """Drop the lease: the store was restored from an older copy, which does not know it."""
         if self.held_lease is not None:
             self._drop_lease(self.held_lease)
 
@@ -355,7 +358,7 @@
 
 
 def _announced_stages(beliefs: list[WorkerBelief], now: float) -> dict[str, Stage]:
-    """The stages that workers are about to have, by notices: another box gave their orders."""
+    """Return the stages that other boxes ordered workers to change to, from their notices."""
     return {
         belief.worker.id: belief.changing_to
         for belief in beliefs
--- a/tests/forwarding/workers/test_stage_coordinator.py
+++ b/tests/forwarding/workers/test_stage_coordinator.py
@@ -1,4 +1,4 @@
-"""Orders: given under a lease that is surely held, and not doubled when one gets no answer."""
+"""Stage orders: sent only while the lease is held, and not repeated while one is pending."""
 
 import asyncio
 from dataclasses import replace
@@ -15,7 +15,11 @@
 
 
 async def send_one_order(made, monkeypatch, *, answer=202, has_lost_lease=False):
-    """A box that holds the lease and wants one change, and the workers it sent an order to."""
+    """Send one order from a box; return its coordinator and the ids of the ordered workers.
+
+    ``answer`` is the status or the error of the order. With ``has_lost_lease`` the lease belongs to
+    another holder before the order is sent.
+    """
     box = await made.add_box()
     await made.add_worker("p0", service="llm", stage="prefill")
     await made.ready(box)
@@ -42,8 +46,8 @@
     return orders, sent
 
 
-def test_an_order_that_is_not_answered_is_given_time_to_be_carried_out(monkeypatch):
-    """It used to be followed by another order 3 s later, while it could still be carried out."""
+def test_unanswered_order_stays_pending(monkeypatch):
+    """Guards against a second order 3 s later, while the first could still be carried out."""
 
     async def body():
         async with fleet() as made:
@@ -55,7 +59,7 @@
     run(body)
 
 
-def test_no_order_is_given_once_the_lease_is_lost(monkeypatch):
+def test_no_order_is_sent_after_the_lease_is_lost(monkeypatch):
     async def body():
         async with fleet() as made:
             orders, sent = await send_one_order(made, monkeypatch, has_lost_lease=True)
@@ -64,7 +68,7 @@
     run(body)
 
 
-def test_an_order_that_the_worker_refused_is_not_waited_for(monkeypatch):
+def test_refused_order_is_not_pending(monkeypatch):
     async def body():
         async with fleet() as made:
             orders, sent = await send_one_order(made, monkeypatch, answer=409)
@@ -73,7 +77,7 @@
     run(body)
 
 
-def test_an_order_is_over_once_the_list_shows_it(monkeypatch):
+def test_order_is_done_when_the_worker_list_shows_it(monkeypatch):
     async def body():
         async with fleet() as made:
             orders, _ = await send_one_order(made, monkeypatch)
@@ -85,8 +89,8 @@
     run(body)
 
 
-def test_a_worker_that_took_an_order_gets_no_work_and_one_that_gave_no_answer_does(monkeypatch):
-    """An order without an answer may be carried out much later, or never."""
+def test_only_a_worker_that_accepted_its_order_gets_no_work(monkeypatch):
+    """An unanswered order may be carried out much later or never, so its worker keeps its work."""
 
     async def body():
         for answer, is_passed_over in ((202, True), (AnswerLateError("no head"), False)):
@@ -98,7 +102,7 @@
     run(body)
 
 
-def test_workers_that_leave_or_rest_get_no_order(monkeypatch):
+def test_leaving_and_resting_workers_get_no_order(monkeypatch):
     monkeypatch.setattr(stage_coordinator, "MIN_NEED_S", 0.0)
 
     async def body():
@@ -110,7 +114,8 @@
             wishes = box.state.workers.wishes
             wishes.note_leaving("p0", box.state.clock())
             wishes.note_rest("p1", 60.0, box.state.clock())
-            # No decode worker is listed, so one is wanted at once.
+            # No decode worker is listed, so a change to decode is needed. The first call records
+            # the need.
             box.orders.find_changes()
             assert [change.worker.id for change in box.orders.find_changes()] == ["p2"]
 
@@ -118,7 +123,7 @@
 
 
 async def box_with_demand(made, monkeypatch, split):
-    """A box with 3 prefill workers and 1 decode worker, and long answers asked for."""
+    """Return a box with 3 prefill workers, 1 decode worker and a demand for long answers."""
     monkeypatch.setattr(stage_coordinator, "MIN_NEED_S", 0.0)
     monkeypatch.setattr(stage_coordinator, "MIN_PREFILL_NEED_S", 0.0)
     box = await made.add_box()
@@ -135,8 +140,8 @@
     return box
 
 
-def test_services_that_tell_no_pace_are_split_as_before(monkeypatch):
-    """Off by default: without a reported pace the model of before decides, with its inputs."""
+def test_services_without_reported_pace_use_the_fixed_split(monkeypatch):
+    """Without a reported pace, ``auto`` decides as ``fixed_use`` does and with the same inputs."""
 
     async def body():
         async with fleet() as made:
@@ -158,8 +163,8 @@
     run(body)
 
 
-def test_services_that_tell_their_pace_are_split_by_headroom(monkeypatch):
-    """The same demand leaves both stages within their aims: nothing is ordered."""
+def test_services_with_reported_pace_are_split_by_headroom(monkeypatch):
+    """By headroom the same demand keeps both stages within their aims, so nothing is ordered."""
 
     async def body():
         for split in (SplitWay.AUTO, SplitWay.HEADROOM):
@@ -173,8 +178,8 @@
     run(body)
 
 
-def test_orders_by_headroom_wait_until_crashed_workers_are_back(monkeypatch):
-    """An order to decode after 0.4 s, for workers that crashed, cannot be undone for 20 s."""
+def test_headroom_orders_wait_for_crashed_workers_to_return(monkeypatch):
+    """An order to decode that 0.4 s of crashed workers caused could not be undone for 20 s."""
 
     async def body():
         async with fleet() as made:
