--- a/src/croftchute/forwarding/workers/completion_time_selector.py
+++ b/src/croftchute/forwarding/workers/completion_time_selector.py
@@ -113,7 +113,7 @@
                 state, service, drawn, PROBE_TIMEOUT_S, permit_request=permit_request
             )
         if not loads_by_id:
-            # With old data alone, too many boxes would pick the same earliest worker.
+            # With old data alone, too many boxes would pick the same one of the three workers.
             return self.select(left)
         ends = self._predict_ends(drawn)
         return self._describe_choice(drawn, ends, predicted_end.earliest(ends))
--- a/src/croftchute/forwarding/workers/prompt_cache_lookup.py
+++ b/src/croftchute/forwarding/workers/prompt_cache_lookup.py
@@ -35,7 +35,7 @@
     )
     run.log(
         Decision.KEEPER_ASKED,
-        outcome="found" if tokens > 0 else "none keeps it",
+        outcome="found" if tokens > 0 else "not cached",
         worker=worker_id if tokens > 0 else "",
         kept_tokens=tokens,
         workers_asked=len(usable),
--- a/src/croftchute/forwarding/workers/worker_signals.py
+++ b/src/croftchute/forwarding/workers/worker_signals.py
@@ -91,7 +91,7 @@
     worker: Worker,
     head: ResponseHead,
     call: str,
-    **wished: Any,
+    **fields: Any,
 ) -> None:
     belief = state.workers.beliefs_by_id.get(worker.id)
     state.log.decide(
@@ -103,5 +103,5 @@
         listed=belief.worker.state.value if belief is not None else "not listed",
         workers_age_s=round(state.clock() - state.workers.heard_at, 2),
         call=call,
-        **wished,
+        **fields,
     )
--- a/tests/forwarding/workers/test_stage_coordinator.py
+++ b/tests/forwarding/workers/test_stage_coordinator.py
@@ -90,7 +90,7 @@
 
 
 def test_only_a_worker_that_accepted_its_order_gets_no_work(monkeypatch):
-    """An unanswered order may be carried out much later or never, so its worker keeps its work."""
+    """An unanswered order may be carried out much later or never, so its worker still gets work."""
 
     async def body():
         for answer, is_passed_over in ((202, True), (AnswerLateError("no head"), False)):
@@ -141,7 +141,7 @@
 
 
 def test_services_without_reported_pace_use_the_fixed_split(monkeypatch):
-    """Without a reported pace, ``auto`` decides as ``fixed_use`` does and with the same inputs."""
+    """Without a reported pace the default, ``auto``, decides as ``fixed_use`` does."""
 
     async def body():
         async with fleet() as made:
@@ -179,7 +179,7 @@
 
 
 def test_headroom_orders_wait_for_crashed_workers_to_return(monkeypatch):
-    """An order to decode that 0.4 s of crashed workers caused could not be undone for 20 s."""
+    """An order sent after 0.4 s, because workers crashed, could not be undone for 20 s."""
 
     async def body():
         async with fleet() as made:
