--- a/src/croftchute/forwarding/callers/slow_callers.py
+++ b/src/croftchute/forwarding/callers/slow_callers.py
@@ -1,4 +1,4 @@
-"""What is told of answers that were ended because they held the most bytes for their callers."""
+"""Log and metrics of answers that were aborted because they buffered the most bytes."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 from croftchute.systems.held_bytes import EndedStream
 
 
-def note_ended(state: ForwardingState, request_id: str, ended: EndedStream) -> None:
-    """Log and count one; all sizes are in bytes."""
+def log_ended_stream(state: ForwardingState, request_id: str, ended: EndedStream) -> None:
+    """Log and count one aborted answer; all sizes are in bytes."""
     state.metrics.slow_callers.inc({})
     state.log.decide(
         Decision.SLOW_CALLER_ENDED,
--- a/src/croftchute/forwarding/workers/answer_end.py
+++ b/src/croftchute/forwarding/workers/answer_completion.py
@@ -1,4 +1,4 @@
-"""The end of a whole answer whose caller may not have read all of it yet."""
+"""Completion of an answer that its caller may not have read in full yet."""
 
 from __future__ import annotations
 
@@ -7,17 +7,17 @@
 from croftchute.forwarding.workers.request_run import RequestRun
 
 
-async def answered_once_read(run: RequestRun, status: int, worker: str) -> None:
-    """Wait until nothing of the answer is held for the caller, then log and count it.
+async def finish_answer(run: RequestRun, status: int, worker: str) -> None:
+    """Wait until the caller has read the whole answer, then log and count it.
 
-    One that is not read in the caller's time is broken off. Without bounds for held bytes there is
-    no waiting.
+    An answer that is not read before the caller's deadline is aborted. Where buffered bytes are not
+    bounded there is no wait.
     """
     exchange = run.exchange
     if exchange.has_unsent:
         try:
             await within(exchange.flushed(), run.time_left_s, "caller did not read the answer")
         except AnswerLateError as error:
-            run.broken(error.message)
+            run.abort_answer(error.message)
             return
-    run.answered(status, worker)
+    run.record_answered(status, worker)
--- a/src/croftchute/forwarding/workers/end_choice.py
+++ b/src/croftchute/forwarding/workers/completion_time_selector.py
@@ -1,4 +1,4 @@
-"""Choices of workers by predicted end, from what the process knows of a service."""
+"""Selection of workers by the predicted completion time of the request."""
 
 from __future__ import annotations
 
@@ -7,10 +7,10 @@
 from dataclasses import dataclass, replace
 from typing import Protocol
 
-from croftchute.forwarding.permits import PermitWish
+from croftchute.forwarding.permits import PermitRequest
 from croftchute.forwarding.state import ForwardingState
+from croftchute.forwarding.workers.load_and_pace import WORK_KIND_BY_STAGE, median_answer_s
 from croftchute.forwarding.workers.load_probe import PROBE_TIMEOUT_S, probe_loads
-from croftchute.forwarding.workers.load_reader import KIND_BY_STAGE, usual_answer_s
 from croftchute.systems import predicted_end, timeouts
 from croftchute.systems.predicted_end import PlacementMode, UsualTimes
 from croftchute.systems.prefill_queue import PrefillEstimate
@@ -26,20 +26,20 @@
 from croftchute.tables.paces import PaceEstimate, PredictedEnd, WorkKind
 from croftchute.tables.routing import RequestFacts, Route, Stage
 
-USUAL_KEPT_S = 0.5
-"""Seconds for which the usual times of a service are used: they are means of seconds."""
+USUAL_TIMES_TTL_S = 0.5
+"""Seconds for which computed usual times are reused; they are averages over seconds anyway."""
 
 
-def chooses_by_end(state: ForwardingState, service: str) -> bool:
-    """Whether workers of a service are chosen by predicted end."""
+def selects_by_completion_time(state: ForwardingState, service: str) -> bool:
+    """Whether workers of a service are selected by predicted completion time."""
     way = state.ways.placement
     if way is PlacementMode.AUTO:
         return state.tells_pace(service)
     return way is PlacementMode.BY_END
 
 
-class PlacedRequest(Protocol):
-    """The request for which a worker is chosen."""
+class SelectionRequest(Protocol):
+    """The request for which a worker is selected."""
 
     state: ForwardingState
     service: str
@@ -48,17 +48,17 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class EndChoice:
-    """One choice of a worker for a request; ``avoid`` are ids of workers that are passed over."""
+class CompletionTimeSelector:
+    """Selects one worker for a request; ``avoid`` holds the ids of workers to skip."""
 
-    request: PlacedRequest
+    request: SelectionRequest
     stage: Stage | None
     context: ChoiceContext
     avoid: Collection[str]
 
     @property
     def state(self) -> ForwardingState:
-        """What the process knows."""
+        """The state of the process."""
         return self.request.state
 
     @property
@@ -66,14 +66,14 @@
         """The service whose workers are compared."""
         return self.request.service
 
-    def choose(
+    def select(
         self, candidates: Sequence[TrackedWorker]
     ) -> tuple[TrackedWorker, ChoiceRecord] | None:
-        """A plain or decode worker, drawn at random with the sooner ones more often.
+        """Draw a plain or decode worker at random, weighted towards earlier completion.
 
-        Of many candidates some are looked at, as in choices by cost.
+        Of many candidates only a sample is compared, as in choices by cost.
         """
-        left = self._left(candidates)
+        left = self._without_avoided(candidates)
         if not left:
             return None
         rng = self.state.rng
@@ -84,25 +84,25 @@
                 if affinity
                 else rng.sample(left, MAX_CANDIDATES)
             )
-        ends = self._ends(left)
+        ends = self._predict_ends(left)
         suspects = {
             tracked.worker.id
             for tracked in left
             if predicted_end.is_suspect(tracked, self.context, self.state.clock())
         }
-        return self._chosen(left, ends, predicted_end.draw_by_end(ends, suspects, rng))
+        return self._describe_choice(left, ends, predicted_end.draw_by_end(ends, suspects, rng))
 
-    async def choose_prefill(
-        self, candidates: Sequence[TrackedWorker], *, wish: PermitWish | None
+    async def select_prefill(
+        self, candidates: Sequence[TrackedWorker], *, permit_request: PermitRequest | None
     ) -> tuple[TrackedWorker, ChoiceRecord] | None:
-        """The soonest of some prefill workers drawn by speed and probed.
+        """Draw some prefill workers by speed, probe them, and return the earliest one.
 
-        ``wish`` is for permits of the probes; None asks for no probes. Without any answer to them
-        a worker is drawn as others are.
+        ``permit_request`` is used for the probes; None means that no probes are sent. Without any
+        probe answer the worker is drawn as in :meth:`select`.
         """
         state = self.state
         left = predicted_end.exclude_suspects(
-            self._left(candidates),
+            self._without_avoided(candidates),
             context=self.context,
             now=state.clock(),
             least=predicted_end.PREFILL_CANDIDATES,
@@ -114,18 +114,20 @@
         table = state.table
         service = table.services_by_name.get(self.service) if table is not None else None
         loads_by_id = {}
-        if wish is not None and service is not None and len(drawn) > 1:
-            loads_by_id = await probe_loads(state, service, drawn, PROBE_TIMEOUT_S, wish=wish)
+        if permit_request is not None and service is not None and len(drawn) > 1:
+            loads_by_id = await probe_loads(
+                state, service, drawn, PROBE_TIMEOUT_S, permit_request=permit_request
+            )
         if not loads_by_id:
-            # By old news alone the soonest of three is the same one for too many boxes.
-            return self.choose(left)
-        ends = self._ends(drawn)
-        return self._chosen(drawn, ends, predicted_end.earliest_end(ends))
+            # With old data alone, too many boxes would pick the same one of the three workers.
+            return self.select(left)
+        ends = self._predict_ends(drawn)
+        return self._describe_choice(drawn, ends, predicted_end.earliest_end(ends))
 
-    def _left(self, candidates: Sequence[TrackedWorker]) -> list[TrackedWorker]:
+    def _without_avoided(self, candidates: Sequence[TrackedWorker]) -> list[TrackedWorker]:
         return [tracked for tracked in candidates if tracked.worker.id not in self.avoid]
 
-    def _chosen(
+    def _describe_choice(
         self, compared: list[TrackedWorker], ends: dict[str, PredictedEnd], worker_id: str
     ) -> tuple[TrackedWorker, ChoiceRecord]:
         best = next(tracked for tracked in compared if tracked.worker.id == worker_id)
@@ -134,14 +136,14 @@
         return best, replace(chosen, end=ends[worker_id])
 
     def _pace(self, tracked: TrackedWorker) -> PaceEstimate:
-        kind = KIND_BY_STAGE[self.stage]
+        kind = WORK_KIND_BY_STAGE[self.stage]
         return self.state.paces.estimate(tracked.worker.id, kind, self.state.clock())
 
-    def _ends(self, tracked_workers: list[TrackedWorker]) -> dict[str, PredictedEnd]:
+    def _predict_ends(self, tracked_workers: list[TrackedWorker]) -> dict[str, PredictedEnd]:
         usual = usual_times(self.state, self.service)
-        return {tracked.worker.id: self._end(tracked, usual) for tracked in tracked_workers}
+        return {tracked.worker.id: self._predict_end(tracked, usual) for tracked in tracked_workers}
 
-    def _end(self, tracked: TrackedWorker, usual: UsualTimes) -> PredictedEnd:
+    def _predict_end(self, tracked: TrackedWorker, usual: UsualTimes) -> PredictedEnd:
         state, now, context, pace = (
             self.state,
             self.state.clock(),
@@ -173,15 +175,14 @@
             )
         usual_s = usual.answer_s or self.request.route.target_s
         return predicted_end.predict_plain_end(
-            
             tracked, usual_s=usual_s, context=context, pace=pace, now=now
         )
 
 
-def reading_times(
+def predict_reading_times(
     end: PredictedEnd, decode: TrackedWorker, *, state: ForwardingState, prompt_tokens: int
 ) -> PrefillEstimate:
-    """Until when a prompt is read ahead by the worker of an end, or by its decode worker."""
+    """Predict the prefill times at the prefill worker of ``end`` and at the decode worker."""
     service = decode.worker.service
     timing = state.prefill_pace(service)
     pace = state.paces.estimate(decode.worker.id, WorkKind.TOKEN, state.clock())
@@ -192,10 +193,10 @@
 
 
 def usual_times(state: ForwardingState, service: str) -> UsualTimes:
-    """What is usual at the workers of a service, by the news of all boxes heard."""
+    """Return the usual times of a service, from the reports of all known boxes."""
     now = state.clock()
     known = state.usual_times_by_service.get(service)
-    if known is None or now - known.at >= USUAL_KEPT_S:
+    if known is None or now - known.at >= USUAL_TIMES_TTL_S:
         known = _usual_times(state, service, now)
         state.usual_times_by_service[service] = known
     return known
@@ -210,7 +211,7 @@
     prompt_s = timing.prefill_s(math.ceil(mean_tokens)) if mean_tokens > 0.0 else 0.0
     full_prompts = timeouts.PREFILL_FULL_TOKENS / mean_tokens if mean_tokens > 0.0 else 0.0
     return UsualTimes(
-        answer_s=usual_answer_s(
+        answer_s=median_answer_s(
             [tracked for tracked in tracked_workers if tracked.worker.stage is None]
         ),
         stream_s=counts.ended_s / counts.ended if counts.ended else 0.0,
--- a/src/croftchute/forwarding/workers/crash_watch.py
+++ b/src/croftchute/forwarding/workers/crash_detection.py
@@ -1,7 +1,7 @@
-"""Finds out whether a worker that broke an answer off has ended, and under which requests.
+"""Finds out whether a worker that broke an answer off has crashed, and which requests it ran.
 
-A broken answer alone says little: connections are reset, and faulty workers break off and go on.
-A worker whose process has ended refuses connections at once, or has begun another life since.
+A broken answer alone is no proof: connections get reset, and faulty workers break an answer off and
+go on. A worker whose process has ended refuses connections at once, or has restarted since.
 """
 
 from __future__ import annotations
@@ -12,21 +12,21 @@
 from croftchute.forwarding.state import ForwardingState
 from croftchute.tables.routing import Worker
 
-LOOK_S = 1.5
-"""Seconds until a connection must be up or refused: time for one lost packet to be sent again.
-Meanwhile the end is taken for likely, which only matters to requests that lost two workers."""
+CONNECT_PROBE_TIMEOUT_S = 1.5
+"""Seconds until a connection must be open or refused: enough to resend one lost packet. Until then
+a crash counts as likely, which only matters to requests that have lost two workers already."""
 
-MAX_DIGESTS_LOGGED = 16
-"""Digests in one line: some more than a worker of eight slots runs for one box."""
+MAX_LOGGED_DIGESTS = 16
+"""Most digests in one log line: more than a worker with eight slots runs for one box."""
 
-LIVES, ENDED, UNKNOWN, RESTARTED = "lives", "ended", "unknown", "restarted"
-"""What a look at a worker finds."""
+ALIVE, ENDED, UNKNOWN, RESTARTED = "lives", "ended", "unknown", "restarted"
+"""Outcomes of a probe, as they are logged."""
 
 
-def note_broken(state: ForwardingState, worker: Worker, digest: str) -> None:
-    """A worker broke the answer to a request off: look whether it has ended.
+def check_after_broken_answer(state: ForwardingState, worker: Worker, digest: str) -> None:
+    """Probe whether a worker has crashed after it broke off the answer to a request.
 
-    Workers that were leaving end as planned, whatever they run.
+    Workers that announced that they leave are expected to end, so they aren't probed.
     """
     tracked = state.workers.tracked_by_id.get(worker.id)
     if tracked is None or state.workers.advice.is_leaving(worker.id):
@@ -34,22 +34,22 @@
     now = state.clock()
     if tracked.has_ended:
         state.crashes.note_suspected_crash(digest, worker.id, now)
-        _settle(state, worker, RESTARTED, broke_at=now)
+        _record_outcome(state, worker, RESTARTED, broke_at=now)
         return
     if tracked.gone_at is not None:
         return
     state.crashes.note_suspected_crash(digest, worker.id, now)
     if worker.id not in state.lives_looked_at:
         state.lives_looked_at.add(worker.id)
-        state.spawn(_look(state, worker))
+        state.spawn(_probe_process(state, worker))
 
 
-async def _look(state: ForwardingState, worker: Worker) -> None:
+async def _probe_process(state: ForwardingState, worker: Worker) -> None:
     broke_at = state.clock()
-    outcome = LIVES
+    outcome = ALIVE
     try:
         connection = await open_connection(
-            worker.host, worker.port, LOOK_S, limits=state.pool.limits
+            worker.host, worker.port, CONNECT_PROBE_TIMEOUT_S, limits=state.pool.limits
         )
         tracked = state.workers.tracked_by_id.get(worker.id)
         if tracked is None or tracked.has_ended:
@@ -65,10 +65,12 @@
         outcome = UNKNOWN
     finally:
         state.lives_looked_at.discard(worker.id)
-    _settle(state, worker, outcome, broke_at=broke_at)
+    _record_outcome(state, worker, outcome, broke_at=broke_at)
 
 
-def _settle(state: ForwardingState, worker: Worker, outcome: str, *, broke_at: float) -> None:
+def _record_outcome(
+    state: ForwardingState, worker: Worker, outcome: str, *, broke_at: float
+) -> None:
     has_ended = outcome in (ENDED, RESTARTED)
     digests = state.crashes.resolve_suspicion(worker.id, ended_at=broke_at if has_ended else None)
     state.log.decide(
@@ -76,7 +78,7 @@
         outcome=outcome,
         worker=worker.id,
         took_ms=round((state.clock() - broke_at) * 1000, 1),
-        digests=digests[:MAX_DIGESTS_LOGGED],
+        digests=digests[:MAX_LOGGED_DIGESTS],
         requests=len(digests),
     )
     if digests:
--- a/src/croftchute/forwarding/workers/decode_room.py
+++ b/src/croftchute/forwarding/workers/decode_reservation.py
@@ -1,4 +1,4 @@
-"""Room for a streaming request at a decode worker: asked for, waited for, held till it is sent."""
+"""Reservation of memory for a streaming request at a decode worker."""
 
 from __future__ import annotations
 
@@ -9,15 +9,15 @@
 from croftchute.forwarding.decision_log import Decision
 from croftchute.forwarding.dialect import Hold
 from croftchute.forwarding.http.failures import ExchangeError
+from croftchute.forwarding.workers.queue_reporting import queue_log_fields
 from croftchute.forwarding.workers.request_run import RequestRun
-from croftchute.forwarding.workers.room_report import order_facts
-from croftchute.forwarding.workers.room_turn import (
-    PollingTurn,
-    RankedTurn,
-    RequestUse,
-    RoomTurn,
+from croftchute.forwarding.workers.room_wait_policy import (
+    PollingWait,
+    RankedWait,
+    RequestUsage,
+    RoomWaitPolicy,
 )
-from croftchute.forwarding.workers.worker_control import drop_hold, take_hold
+from croftchute.forwarding.workers.worker_control import acquire_hold, release_hold
 from croftchute.systems import timeouts
 from croftchute.systems.room_forecast import RoomWait
 from croftchute.systems.timeouts import ReturnMode
@@ -25,88 +25,95 @@
 from croftchute.systems.worker_choice import ChoiceRecord
 from croftchute.tables.routing import EngineTraits, Stage, Worker
 
-HOLD_AND_REQUEST = 2
-"""Calls of a worker that a stream takes there: an ask for room, and the request itself."""
+CALLS_PER_HELD_REQUEST = 2
+"""Calls of a worker for one stream: the reservation and the request itself."""
 
 
-class DecodeRoom:
-    """Finds a decode worker with room for one request, and keeps its hold until it is used.
+class DecodeReservation:
+    """Finds a decode worker with room for one request, and keeps the hold until it is used.
 
-    ``kept_at`` is the worker that may still keep the request's cache: it is asked first, once.
-    ``code`` and ``detail`` say why the workers that were asked last had none.
+    ``cached_worker_id`` is the worker that may still have the prompt in its cache; it is asked
+    first, once. ``code`` and ``detail`` say why the workers asked last had no room.
     """
 
     def __init__(self, *, run: RequestRun) -> None:
         self.run = run
         self.hold: Hold | None = None
-        self.kept_at: str | None = None
+        self.cached_worker_id: str | None = None
         self.code: Code | None = None
         self.detail = ""
-        self._resumed_in_place = False
-        self._permit_at: Worker | None = None
-        self._use = RequestUse(run=run)
+        self._has_tried_cached_worker = False
+        self._permit_worker: Worker | None = None
+        self._usage = RequestUsage(run=run)
 
     async def reserve(self) -> tuple[TrackedWorker, ChoiceRecord] | None:
-        """A decode worker that keeps room for the request, waiting for a while if all are full."""
+        """Reserve room at a decode worker, waiting while all are full; None if there is none."""
         run = self.run
         self.code = None
         self.detail = ""
         is_begun = run.exchange.is_started
         asked_at = run.now
         is_last_ask = False
-        with closing(self._turn(is_begun=is_begun)) as turn:
+        with closing(self._wait_policy(is_begun=is_begun)) as policy:
             while True:
-                # Where there is no worker the request is refused for that, without a wait.
-                has_asked = is_last_ask or turn.may_ask(run.now) or not self._has_worker()
-                if has_asked and run.held_back:
-                    # It says no longer why the request has no room.
+                # Without any worker the request asks in any case, and is refused without a wait.
+                has_asked = is_last_ask or policy.may_ask(run.now) or not self._has_worker()
+                if has_asked and run.is_held_back:
+                    # Being held back is no longer the reason for having no room.
                     self.code, self.detail = None, ""
-                run.held_back = not has_asked
+                run.is_held_back = not has_asked
                 found = await self._ask_for_room() if has_asked else None
                 if found is not None:
                     if not is_begun:
                         run.state.demand(run.service).note_granted(run.now, is_large=run.is_large)
-                    turn.granted(run.now)
+                    policy.granted(run.now)
                     return found
-                # The one ask at the end does not change why the request had no room before.
-                run.held_back |= is_last_ask
-                if run.held_back:
+                # The last ask does not change the reason: the request was held back until then.
+                run.is_held_back |= is_last_ask
+                if run.is_held_back:
                     self.code = Code.NO_CAPACITY
                     self.detail = "more urgent requests wait for room"
-                may_come = run.full or run.held_back or (is_begun and self._rests_end_soon())
-                if is_last_ask or not may_come:
+                may_get_room = (
+                    run.full_workers
+                    or run.is_held_back
+                    or (is_begun and self._does_rest_end_soon())
+                )
+                if is_last_ask or not may_get_room:
                     return None
                 if not self._may_wait(asked_at, is_begun=is_begun):
-                    if not turn.takes_last_chance():
+                    if not policy.may_ask_finally():
                         return None
                     is_last_ask = True
                     continue
-                pause_s = turn.pause_s(run.now)
+                pause_s = policy.pause_s(run.now)
                 await asyncio.sleep(pause_s)
-                turn.waited(pause_s, run.now)
-                run.full.clear()
+                policy.waited(pause_s, run.now)
+                run.full_workers.clear()
 
-    def _turn(self, *, is_begun: bool) -> RoomTurn:
-        """How the request waits: a stream that has begun goes before all others."""
+    def _wait_policy(self, *, is_begun: bool) -> RoomWaitPolicy:
+        """Return how the request waits; a stream that has begun does not queue by rank."""
         run = self.run
         if not is_begun and run.is_ordered:
-            return RankedTurn(run=run, use=self._use)
+            return RankedWait(run=run, usage=self._usage)
         pause_s = timeouts.room_poll_interval_s(
-            run.route, run.state.ways.returns, since_first_try_s=run.before_s, is_begun=is_begun
+            run.route,
+            run.state.ways.returns,
+            since_first_try_s=run.earlier_tries_s,
+            is_begun=is_begun,
         )
-        return PollingTurn(history=run.state.room(run.service), poll_s=pause_s)
+        return PollingWait(history=run.state.room(run.service), poll_s=pause_s)
 
     def _has_worker(self) -> bool:
-        """Whether some decode worker may be asked now."""
+        """Whether any decode worker may be asked now."""
         run = self.run
         return bool(run.state.workers.usable(run.service, run.now, stage=Stage.DECODE))
 
-    def _rests_end_soon(self) -> bool:
-        """Whether a decode worker takes work again while the caller of a begun stream waits."""
+    def _does_rest_end_soon(self) -> bool:
+        """Whether a resting decode worker accepts work again within the wait of a begun stream."""
         return 0.0 < self.run.backoff_left_s <= timeouts.RESUME_WAIT_S
 
     def _may_wait(self, asked_at: float, *, is_begun: bool) -> bool:
-        """Whether to go on waiting for room: it will likely come while the caller wants it."""
+        """Whether to go on waiting, as room is likely to come before the caller's deadline."""
         run = self.run
         if is_begun:
             return run.now - asked_at < min(timeouts.RESUME_WAIT_S, run.time_left_s)
@@ -119,7 +126,7 @@
             time_left_s=run.time_left_s,
             reading_s=timing.prefill_s(run.facts.prompt_tokens),
             since_first_try_s=(
-                run.before_s if run.state.ways.returns is ReturnMode.IN_TIME_FIRST else 0.0
+                run.earlier_tries_s if run.state.ways.returns is ReturnMode.IN_TIME_FIRST else 0.0
             ),
         )
         if wait.is_worthwhile(run.route, mean_wait_s=mean_wait_s):
@@ -130,59 +137,62 @@
             mean_wait_s=mean_wait_s,
             reading_s=round(wait.reading_s, 3),
             tokens=run.facts.prompt_tokens,
-            **order_facts(run),
+            **queue_log_fields(run),
         )
         return False
 
     async def _ask_for_room(self) -> tuple[TrackedWorker, ChoiceRecord] | None:
-        """Ask the decode workers, the cheapest first; None if none has room."""
+        """Ask the decode workers in order of choice; None if none has room."""
         run = self.run
         engine = run.engine
-        if engine is not None and (in_place := await self._room_in_place(engine)) is not None:
-            return in_place
+        if (
+            engine is not None
+            and (reserved := await self._reserve_at_cached_worker(engine)) is not None
+        ):
+            return reserved
         while True:
             found = run.choose(Stage.DECODE)
             if found is None:
                 return None
             if engine is None or engine.hold_ttl_s <= 0.0:
-                if await run.take_permit(found[0]):
-                    self._permit_at = found[0].worker
+                if await run.acquire_permit(found[0]):
+                    self._permit_worker = found[0].worker
                     return found
                 continue
             if found[0].full_until > run.now:
-                run.full.add(found[0].worker.id)
-                self._note_full(found[0])
+                run.full_workers.add(found[0].worker.id)
+                self._set_no_room(found[0])
                 continue
-            if await self._hold_if_permitted(*found, engine):
+            if await self._reserve_if_permitted(*found, engine):
                 return found
 
-    async def _room_in_place(
+    async def _reserve_at_cached_worker(
         self, engine: EngineTraits
     ) -> tuple[TrackedWorker, ChoiceRecord] | None:
-        """Room at the worker that may still keep the request's cache."""
-        same = self._same_worker()
-        if same is None or not await self._hold_if_permitted(*same, engine):
+        """Reserve room at the worker that may still have the prompt in its cache."""
+        cached = self._find_cached_worker()
+        if cached is None or not await self._reserve_if_permitted(*cached, engine):
             return None
-        return same
+        return cached
 
-    async def _hold_if_permitted(
+    async def _reserve_if_permitted(
         self, tracked: TrackedWorker, chosen: ChoiceRecord, engine: EngineTraits
     ) -> bool:
-        """Ask a worker for room if it takes that call, and the request behind it."""
-        if not await self.run.take_permit(tracked, calls=HOLD_AND_REQUEST):
+        """Reserve room at a worker if its limit permits that call and the request after it."""
+        if not await self.run.acquire_permit(tracked, calls=CALLS_PER_HELD_REQUEST):
             return False
-        self._permit_at = tracked.worker
-        is_held = await self._hold_at(tracked, chosen, engine)
+        self._permit_worker = tracked.worker
+        is_held = await self._reserve_at(tracked, chosen, engine)
         if not is_held:
-            self._give_permit_back()
+            self._release_permit()
         return is_held
 
-    def _same_worker(self) -> tuple[TrackedWorker, ChoiceRecord] | None:
-        """The worker that the stream ran at: if it lives, it still keeps the prompt's cache."""
-        worker_id, self.kept_at = self.kept_at, None
-        if worker_id is None or self._resumed_in_place:
+    def _find_cached_worker(self) -> tuple[TrackedWorker, ChoiceRecord] | None:
+        """Return the worker that ran the stream: if it is alive, it still has the cache."""
+        worker_id, self.cached_worker_id = self.cached_worker_id, None
+        if worker_id is None or self._has_tried_cached_worker:
             return None
-        self._resumed_in_place = True
+        self._has_tried_cached_worker = True
         run = self.run
         usable = run.state.workers.usable(run.service, run.now, stage=Stage.DECODE)
         for tracked in usable:
@@ -190,7 +200,7 @@
                 return tracked, run.describe_choice(tracked, candidates=1)
         return None
 
-    async def _hold_at(
+    async def _reserve_at(
         self, tracked: TrackedWorker, chosen: ChoiceRecord, engine: EngineTraits
     ) -> bool:
         run = self.run
@@ -204,18 +214,20 @@
         )
         outcome = "granted"
         try:
-            self.hold = await take_hold(run.state, tracked.worker, tokens, engine.hold_ttl_s)
+            self.hold = await acquire_hold(run.state, tracked.worker, tokens, engine.hold_ttl_s)
             if self.hold is None:
                 outcome = "no_room"
-                run.full.add(tracked.worker.id)
+                run.full_workers.add(tracked.worker.id)
                 run.state.workers.note_full(
                     tracked.worker.id, run.now + timeouts.FULL_WORKER_BACKOFF_S
                 )
-                self._note_full(tracked)
+                self._set_no_room(tracked)
         except ExchangeError as error:
             outcome = error.code.value
-            # A late one may have room once its link is less busy: asked again like a full one.
-            (run.full if error.code is Code.UPSTREAM_SLOW else run.avoid).add(tracked.worker.id)
+            # A late worker may have room once its link is less busy, so it counts as full.
+            (run.full_workers if error.code is Code.UPSTREAM_SLOW else run.avoid).add(
+                tracked.worker.id
+            )
             run.state.workers.note_failure(tracked.worker.id, 1.0, run.now)
             self.detail = error.message
         run.log(
@@ -226,28 +238,28 @@
             cost=chosen.cost,
             own_tokens=tracked.tokens_in_flight,
             failures=chosen.failures,
-            **order_facts(run),
+            **queue_log_fields(run),
         )
         return self.hold is not None
 
-    def note_used(self) -> None:
-        """The request was sent: neither the hold nor the permit for it is left."""
+    def mark_used(self) -> None:
+        """Forget the hold and the permit: the request that was sent has used them."""
         self.hold = None
-        self._permit_at = None
+        self._permit_worker = None
 
-    def drop_unused(self) -> None:
-        """Give the hold and the permit back if nothing was sent with them."""
-        self._give_permit_back()
+    def release_unused(self) -> None:
+        """Release the hold and the permit if no request was sent with them."""
+        self._release_permit()
         if self.hold is not None:
             state = self.run.state
-            state.spawn(drop_hold(state, self.hold, self.run.facts.id))
+            state.spawn(release_hold(state, self.hold, self.run.facts.id))
             self.hold = None
 
-    def _give_permit_back(self) -> None:
-        if self._permit_at is not None:
-            self.run.state.permits.give_back(self._permit_at)
-            self._permit_at = None
+    def _release_permit(self) -> None:
+        if self._permit_worker is not None:
+            self.run.state.permits.release(self._permit_worker)
+            self._permit_worker = None
 
-    def _note_full(self, tracked: TrackedWorker) -> None:
+    def _set_no_room(self, tracked: TrackedWorker) -> None:
         self.code = Code.NO_CAPACITY
         self.detail = f"no room at {tracked.worker.id} and others"
--- a/src/croftchute/forwarding/workers/plain_admission.py
+++ b/src/croftchute/forwarding/workers/plain_admission.py
@@ -1,4 +1,4 @@
-"""Admission of plain calls while their service queues: the load is asked for, then decided by."""
+"""Admission of plain calls while their service has a queue, by freshly probed loads."""
 
 from __future__ import annotations
 
@@ -15,59 +15,62 @@
 from croftchute.tables.paces import PaceSource, PredictedEnd
 from croftchute.tables.routing import Service
 
-MOST_PROBES = 3
-"""Workers asked for one call: a plain service has a few, and each probe is a call of its own."""
+MAX_PROBES = 3
+"""Most workers probed for one call. A plain service has a few, and each probe costs a call."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Admission:
-    """Where a call goes by the load just told; ``found`` is None if it would be late everywhere."""
+    """The worker for a call by its fresh load; ``found`` is None if all would be late."""
 
     choice: PlainChoice
     found: tuple[TrackedWorker, ChoiceRecord] | None
 
 
 async def admit(run: RequestRun) -> Admission | None:
-    """Decide on a plain call by fresh loads; None where there is no queue, or no news of it."""
-    service = _service(run)
+    """Place or refuse a plain call by fresh loads; None without a queue or without loads."""
+    service = _probed_service(run)
     if service is None or run.connect_failures:
         return None
     workers = [b for b in run.candidates(None) if b.worker.id not in run.avoid]
     if len(workers) < 2 or not plain_queue.is_busy(workers, run.now):
         return None
-    asked = run.state.rng.sample(workers, min(MOST_PROBES, len(workers)))
-    await probe_loads(run.state, service, asked, PROBE_TIMEOUT_S, wish=run.permit_wish())
+    asked = run.state.rng.sample(workers, min(MAX_PROBES, len(workers)))
+    await probe_loads(
+        run.state, service, asked, PROBE_TIMEOUT_S, permit_request=run.permit_request()
+    )
     loads_by_id = {
         tracked.worker.id: load
         for tracked in asked
-        if (load := _load(run.state, tracked)) is not None
+        if (load := _fresh_load(run.state, tracked)) is not None
     }
     work_s = run.state.work_times.usual_s(run.service)
     choice = plain_queue.choose_worker(
         loads_by_id,
         work_s=work_s,
-        target_left_s=run.route.target_s - run.before_s - (run.now - run.started_at),
+        target_left_s=run.route.target_s - run.earlier_tries_s - (run.now - run.started_at),
         time_left_s=run.time_left_s,
-        is_last_try=run.arrivals > 0 or plain_queue.is_returning_caller(run.route, run.before_s),
+        is_last_try=run.deliveries > 0
+        or plain_queue.is_returning_caller(run.route, run.earlier_tries_s),
     )
     if choice is None:
         return None
     if choice.is_refused:
         return Admission(choice=choice, found=None)
     tracked = next(b for b in asked if b.worker.id == choice.worker_id)
-    end = _predicted(choice, loads_by_id[choice.worker_id], work_s)
+    end = _predicted_end(choice, loads_by_id[choice.worker_id], work_s)
     described = replace(run.describe_choice(tracked, candidates=len(loads_by_id)), end=end)
     return Admission(choice=choice, found=(tracked, described))
 
 
 def refuse_late(run: RequestRun, admission: Admission) -> None:
-    """Refuse a call that would be late at every worker; nothing of it was sent."""
-    detail = f"would end in {admission.choice.end_s:.2f} s at {admission.choice.worker_id}"
-    run.refuse(Code.NO_CAPACITY, Ran.NOT_RUN, f"{detail} and later at others")
+    """Refuse a call, not yet sent, that would be late at every probed worker."""
+    detail = f"would complete in {admission.choice.end_s:.2f} s at {admission.choice.worker_id}"
+    run.refuse(Code.NO_CAPACITY, Ran.NOT_RUN, f"{detail}, and later at other workers")
 
 
-def _service(run: RequestRun) -> Service | None:
-    """The service, if it is a plain one whose workers tell their load when they are asked."""
+def _probed_service(run: RequestRun) -> Service | None:
+    """Return the service if it is a plain one whose workers report their load to probes."""
     state = run.state
     table = state.table
     service = table.services_by_name.get(run.service) if table is not None else None
@@ -76,8 +79,8 @@
     return service if state.conditions.pressure or state.tells_pace(run.service) else None
 
 
-def _load(state: ForwardingState, tracked: TrackedWorker) -> QueueLoad | None:
-    """What a worker told within the time of a probe."""
+def _fresh_load(state: ForwardingState, tracked: TrackedWorker) -> QueueLoad | None:
+    """Return the load that a worker reported within the time-out of a probe, or None."""
     now = state.clock()
     if now - tracked.load_at > PROBE_TIMEOUT_S:
         return None
@@ -90,7 +93,7 @@
     )
 
 
-def _predicted(choice: PlainChoice, load: QueueLoad, work_s: float) -> PredictedEnd:
+def _predicted_end(choice: PlainChoice, load: QueueLoad, work_s: float) -> PredictedEnd:
     own_s = load.pace * work_s
     return PredictedEnd(
         wait_s=max(0.0, choice.end_s - own_s),
--- a/src/croftchute/forwarding/workers/plain_run.py
+++ b/src/croftchute/forwarding/workers/plain_run.py
@@ -1,4 +1,4 @@
-"""Requests whose answer is a whole: read it in full, then hand it to the caller."""
+"""Requests with a plain answer, which is read in full before the caller gets it."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
     ExchangeError,
 )
 from croftchute.forwarding.http.http_client import ResponseHead
-from croftchute.forwarding.workers.answer_end import answered_once_read
+from croftchute.forwarding.workers.answer_completion import finish_answer
 from croftchute.forwarding.workers.plain_admission import admit, refuse_late
 from croftchute.forwarding.workers.request_run import RequestRun
 from croftchute.forwarding.workers.worker_call import WorkerCall
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class WholeAnswer:
-    """A worker's answer as the caller may get it."""
+    """A complete worker answer, ready for the caller."""
 
     worker: str
     status: int
@@ -33,18 +33,18 @@
 
 
 @dataclass(kw_only=True)
-class Progress:
-    """What is known after some attempts: the last failure that a worker answered, and doubts."""
+class PlainProgress:
+    """The outcome of the attempts so far, and whether one of them may have run the request."""
 
     last_answer: WholeAnswer | None = None
     may_have_run: bool = False
     code: Code = Code.NO_UPSTREAM
-    detail: str = "no worker is known to be usable"
+    detail: str = "no usable worker is known"
 
 
 async def run_plain(run: RequestRun) -> None:
-    """Send the request until a worker answers it or its limits are reached."""
-    progress = Progress()
+    """Send the request until a worker answers it or no further attempt is allowed."""
+    progress = PlainProgress()
     while run.time_left_s > 0.0:
         admission = await admit(run)
         if admission is not None and admission.found is None and not progress.may_have_run:
@@ -53,14 +53,14 @@
         found = run.choose(None) if admission is None else admission.found
         if found is None:
             break
-        if not await run.take_permit(found[0]):
+        if not await run.acquire_permit(found[0]):
             continue
-        if not run.may_send_again():
-            run.state.permits.give_back(found[0].worker)
+        if not run.spend_retry_budget():
+            run.state.permits.release(found[0].worker)
             break
         answer = await _attempt(run, *found, progress)
         if answer is not None:
-            await _hand_over(run, answer)
+            await _send_answer(run, answer)
             return
         if progress.may_have_run and not run.route.may_repeat:
             break
@@ -68,23 +68,23 @@
 
 
 async def _attempt(
-    run: RequestRun, tracked: TrackedWorker, chosen: ChoiceRecord, progress: Progress
+    run: RequestRun, tracked: TrackedWorker, chosen: ChoiceRecord, progress: PlainProgress
 ) -> WholeAnswer | None:
     send = Send(worker=tracked.worker, time_left_s=run.time_left_s, priority=run.priority)
     call = WorkerCall(run=run, tracked=tracked, send=send, chosen=chosen)
     try:
         await call.open()
-        run.arrivals += 1
+        run.deliveries += 1
         run.workers_sent_to.add(tracked.worker.id)
-        head = await call.head(_patience(run, tracked))
-        return await _take(run, call, head, progress)
+        head = await call.read_head(_answer_timeout_s(run, tracked))
+        return await _receive_answer(run, call, head, progress)
     except ConnectFailedError as error:
         run.connect_failures += 1
-        run.state.permits.give_back(tracked.worker)
-        call.failed(error)
+        run.state.permits.release(tracked.worker)
+        call.record_failure(error)
         progress.code, progress.detail = error.code, error.message
     except ExchangeError as error:
-        call.failed(error)
+        call.record_failure(error)
         progress.may_have_run = True
         progress.code, progress.detail = error.code, error.message
     finally:
@@ -92,7 +92,7 @@
     return None
 
 
-def _patience(run: RequestRun, tracked: TrackedWorker) -> float:
+def _answer_timeout_s(run: RequestRun, tracked: TrackedWorker) -> float:
     if not run.route.may_repeat or len(run.workers_sent_to) >= run.route.max_attempts:
         return run.time_left_s
     return timeouts.answer_timeout_s(
@@ -100,18 +100,18 @@
     )
 
 
-async def _take(
-    run: RequestRun, call: WorkerCall, head: ResponseHead, progress: Progress
+async def _receive_answer(
+    run: RequestRun, call: WorkerCall, head: ResponseHead, progress: PlainProgress
 ) -> WholeAnswer | None:
     speak = run.state.workers_speak
     verdict = speak.verdict(head)
-    body = await call.body(run.time_left_s)
+    body = await call.read_body(run.time_left_s)
     if verdict in (Verdict.NOT_RUN, Verdict.WRONG_WORKER):
-        call.rejected(verdict)
-        progress.code, progress.detail = Code.NO_CAPACITY, f"worker said {verdict.value}"
+        call.record_rejection(verdict)
+        progress.code, progress.detail = Code.NO_CAPACITY, f"worker rejection: {verdict.value}"
         return None
     if verdict is Verdict.ANSWERED and not speak.is_genuine(head):
-        raise ConnectionBrokenError("a success without the worker's proof")
+        raise ConnectionBrokenError("success response lacks proof that the worker sent it")
     answer = WholeAnswer(
         worker=call.worker.id,
         status=head.status,
@@ -119,30 +119,30 @@
         body=body,
     )
     if verdict is Verdict.FAILED:
-        call.faulty(head.status)
+        call.record_error_status(head.status)
         progress.may_have_run = True
         progress.last_answer = answer
         is_final = not run.route.may_repeat
-        return answer if is_final and not _promises_not_run(answer) else None
-    call.succeeded()
+        return answer if is_final and not _implies_not_run(answer) else None
+    call.record_success()
     return answer
 
 
-def _promises_not_run(answer: WholeAnswer) -> bool:
-    """A status that tells callers that nothing ran, on an answer that does not say so."""
+def _implies_not_run(answer: WholeAnswer) -> bool:
+    """Whether callers take the status to mean that nothing ran, which the answer does not state."""
     return answer.status in (408, 421, 429, 503)
 
 
-async def _hand_over(run: RequestRun, answer: WholeAnswer) -> None:
+async def _send_answer(run: RequestRun, answer: WholeAnswer) -> None:
     run.first_byte_at = run.now
     run.exchange.send(answer.status, answer.headers, answer.body)
-    await answered_once_read(run, answer.status, answer.worker)
+    await finish_answer(run, answer.status, answer.worker)
 
 
-async def _give_up(run: RequestRun, progress: Progress) -> None:
+async def _give_up(run: RequestRun, progress: PlainProgress) -> None:
     last = progress.last_answer
-    if last is not None and not _promises_not_run(last):
-        await _hand_over(run, last)
+    if last is not None and not _implies_not_run(last):
+        await _send_answer(run, last)
         return
     if not progress.may_have_run:
         run.refuse(progress.code, Ran.NOT_RUN, progress.detail)
--- a/src/croftchute/forwarding/workers/order_gauges.py
+++ b/src/croftchute/forwarding/workers/queue_gauges.py
@@ -1,4 +1,4 @@
-"""Gauges of the order for room and of the paces of workers, set anew at each sweep."""
+"""Gauges of requests that queue for decode memory and of workers' paces."""
 
 from __future__ import annotations
 
@@ -6,27 +6,27 @@
 
 from croftchute.forwarding.state import ForwardingState
 from croftchute.forwarding.traffic_metrics import replace_values
-from croftchute.forwarding.workers.load_reader import KIND_BY_STAGE
+from croftchute.forwarding.workers.load_and_pace import WORK_KIND_BY_STAGE
 from croftchute.systems.room_order import OrderMode
 
-MOST_PACES = 64
-"""Workers whose pace is shown: bounds the series of a box. The first by id, the same at all boxes,
-as a choice by pace would end and begin series all the time."""
+MAX_WORKER_PACES = 64
+"""Most workers whose pace is exported, which bounds the series of a box. They are the first by id,
+the same at all boxes: a selection by pace would start and end series all the time."""
 
 Series = tuple[dict[str, str], float]
 
 
-def update_order_gauges(state: ForwardingState, now: float) -> None:
-    """Set the gauges of waiting requests, their mean wait, and the pace of each worker."""
+def update_queue_gauges(state: ForwardingState, now: float) -> None:
+    """Set the gauges of waiting requests, their mean wait and each worker's pace."""
     metrics = state.metrics
-    ordered = list(_ordered_services(state))
+    ordered = list(_queued_services(state))
     replace_values(metrics.room_waiting, _waiting(state, ordered))
     replace_values(metrics.room_wait, _mean_waits(state, ordered))
     replace_values(metrics.worker_pace, _paces(state, now))
 
 
-def _ordered_services(state: ForwardingState) -> Iterator[str]:
-    """Services of the configuration in force whose streams have waited in an order here."""
+def _queued_services(state: ForwardingState) -> Iterator[str]:
+    """Yield the configured services whose streams have queued by rank at this box."""
     configured = state.table.services_by_name if state.table is not None else {}
     for service in state.ranked_room_by_service:
         if service in configured and state.room_order(service) is not OrderMode.UNORDERED:
@@ -34,7 +34,7 @@
 
 
 def _waiting(state: ForwardingState, services: list[str]) -> Iterator[Series]:
-    """Requests that wait at this box; 0 for ranks of the configuration of which none does."""
+    """Yield the waiting requests of this box by rank; 0 for configured ranks without any."""
     for service in services:
         waiting = state.ranked_room(service).waiting_by_rank()
         for rank in sorted({*range(0, 2 * state.request_ranks(service).count, 2), *waiting}):
@@ -42,7 +42,7 @@
 
 
 def _mean_waits(state: ForwardingState, services: list[str]) -> Iterator[Series]:
-    """The mean wait in seconds by which requests of each rank decide, as known at this box."""
+    """Yield the mean wait in seconds, by rank, that requests at this box decide by."""
     for service in services:
         view = state.room_view(service)
         for rank in range(0, 2 * state.request_ranks(service).count, 2):
@@ -50,11 +50,11 @@
 
 
 def _paces(state: ForwardingState, now: float) -> Iterator[Series]:
-    """The paces of listed workers of which something was heard; 1 is usual."""
+    """Yield the known paces of listed workers; 1 is the usual pace."""
     tracked_by_id = state.workers.tracked_by_id
     known = sorted(worker_id for worker_id in tracked_by_id if state.paces.is_known(worker_id))
-    for worker_id in known[:MOST_PACES]:
-        kind = KIND_BY_STAGE[tracked_by_id[worker_id].worker.stage]
+    for worker_id in known[:MAX_WORKER_PACES]:
+        kind = WORK_KIND_BY_STAGE[tracked_by_id[worker_id].worker.stage]
         estimate = state.paces.estimate(worker_id, kind, now)
         yield {"worker": worker_id}, round(estimate.factor, 3)
 
--- a/src/croftchute/forwarding/workers/request_run.py
+++ b/src/croftchute/forwarding/workers/request_run.py
@@ -1,4 +1,4 @@
-"""One request on its way: its facts, its limits, its choices, and how it ends."""
+"""The state of one request: its facts, deadline and worker choices, and how it ends."""
 
 from __future__ import annotations
 
@@ -6,10 +6,13 @@
 from croftchute.forwarding.decision_log import Decision
 from croftchute.forwarding.dialect import Refusal
 from croftchute.forwarding.http.exchange import Exchange
-from croftchute.forwarding.permits import PermitWish
+from croftchute.forwarding.permits import PermitRequest
 from croftchute.forwarding.state import ForwardingState
-from croftchute.forwarding.workers.end_choice import EndChoice, chooses_by_end
-from croftchute.forwarding.workers.room_report import count_refusal, order_facts
+from croftchute.forwarding.workers.completion_time_selector import (
+    CompletionTimeSelector,
+    selects_by_completion_time,
+)
+from croftchute.forwarding.workers.queue_reporting import count_room_refusal, queue_log_fields
 from croftchute.systems import timeouts
 from croftchute.systems.fair_shares import ShareVerdict
 from croftchute.systems.room_order import OrderMode, room_rank
@@ -19,12 +22,12 @@
 from croftchute.tables.organisations import Organisation
 from croftchute.tables.routing import EngineTraits, RequestFacts, Route, RouteKind, Stage
 
-MAX_CONNECT_TRIES = 4
-"""Workers to which no connection came up before a request is given up."""
+MAX_CONNECT_FAILURES = 4
+"""Most failed connection attempts before no further worker is tried for a request."""
 
 
 class RequestRun:
-    """The state of one request; a ``WorkerCall`` does one sending of it."""
+    """The state of one request; a ``WorkerCall`` is one attempt at one worker."""
 
     def __init__(
         self,
@@ -48,15 +51,15 @@
         if facts.time_left_s is not None:
             limit = min(limit, facts.time_left_s)
         self.deadline_at = started_at + limit
-        self.before_s = state.first_tries.since_first_try_s(
+        self.earlier_tries_s = state.first_tries.since_first_try_s(
             route.name, facts.time_left_s, started_at
         )
-        self.arrivals = 0
+        self.deliveries = 0
         self.workers_sent_to: set[str] = set()
         self.avoid: set[str] = set()
-        self.full: set[str] = set()
-        self.held_back = False
-        self.was_over_share = False
+        self.full_workers: set[str] = set()
+        self.is_held_back = False
+        self.is_counted_over_share = False
         self.connect_failures = 0
         self.first_byte_at: float | None = None
         self.last_worker = ""
@@ -65,54 +68,54 @@
 
     @property
     def now(self) -> float:
-        """The present time of the process's steady clock."""
+        """The current time of the process's monotonic clock."""
         return self.state.clock()
 
     @property
     def digest(self) -> str:
-        """What all tries of this request have in common, worked out once."""
+        """A digest that all attempts of this request share, computed once."""
         if not self._digest:
             self._digest = self.facts.digest
         return self._digest
 
     @property
-    def reading_digest(self) -> str:
-        """The same of its prompt's reading ahead, which other workers do: one may be sound."""
+    def prefill_digest(self) -> str:
+        """A separate digest for the prefill: it may be safe where decode crashes, or vice versa."""
         return f"{self.digest}-read"
 
     @property
-    def ends_workers(self) -> bool:
-        """Whether the request is refused as one that ends the workers that run it."""
-        return self._refused_s > 0.0
+    def crashes_workers(self) -> bool:
+        """Whether the request is refused because workers crashed while they ran it."""
+        return self._crash_refusal_s > 0.0
 
     @property
-    def ends_readers(self) -> bool:
-        """Whether its prompt is not read ahead, as workers ended that did so."""
+    def crashes_prefill_workers(self) -> bool:
+        """Whether prefill workers are avoided because some crashed on this prompt."""
         crashes = self.state.crashes
-        return crashes.has_refusals and crashes.refusal_left_s(self.reading_digest, self.now) > 0.0
+        return crashes.has_refusals and crashes.refusal_left_s(self.prefill_digest, self.now) > 0.0
 
     @property
-    def _refused_s(self) -> float:
+    def _crash_refusal_s(self) -> float:
         crashes = self.state.crashes
         return crashes.refusal_left_s(self.digest, self.now) if crashes.has_refusals else 0.0
 
     @property
     def engine(self) -> EngineTraits | None:
-        """What the engines of the request's service have in common; None if it has none."""
+        """The traits that the engines of the service share; None if it has no engines."""
         table = self.state.table
         service = table.services_by_name.get(self.service) if table is not None else None
         return service.engine if service is not None else None
 
     @property
     def priority(self) -> int:
-        """The request's rank, 0 first: its organisation's if that has one, else its route's."""
+        """The organisation's priority if it has one, else the route's; 0 is the most urgent."""
         if self.organisation is not None and self.organisation.priority is not None:
             return self.organisation.priority
         return self.route.priority
 
     @property
     def rank(self) -> int:
-        """The place among the streams to the service, 0 first; the priority where it has none."""
+        """The rank among the service's streams, 0 first; the priority if it is not ordered."""
         if not self.is_ordered:
             return self.priority
         organisation = self.organisation
@@ -121,88 +124,92 @@
 
     @property
     def is_ordered(self) -> bool:
-        """Whether the request waits for room in an order by rank."""
+        """Whether the request queues for decode memory by rank."""
         is_stream = self.route.kind is RouteKind.STREAM
         return is_stream and self.state.room_order(self.service) is not OrderMode.UNORDERED
 
     @property
     def mean_room_wait_s(self) -> float:
-        """How long requests like this one wait for room on average."""
+        """The mean time that requests like this one wait for room at a decode worker."""
         if not self.is_ordered:
             return self.state.mean_room_wait_s(self.service)
         return self.state.room_view(self.service).mean_wait_s(self.room_rank)
 
     @property
     def room_rank(self) -> int:
-        """The rank by which the request waits for room."""
+        """The rank by which the request queues for room."""
         ranks = self.state.request_ranks(self.service)
         return room_rank(
             self.rank,
             ranks=ranks.count,
-            is_late=self.in_time_left_s <= 0.0,
+            is_late=self.target_left_s <= 0.0,
             is_over_share=self.share.is_over,
         )
 
     @property
     def share(self) -> ShareVerdict:
-        """What the request's organisation has of the service's decode memory."""
+        """How the organisation's use of the service's decode memory compares with its share."""
         if not self.facts.organisation:
             return ShareVerdict()
         return self.state.share_verdict(self.service, self.facts.organisation)
 
     @property
-    def in_time_left_s(self) -> float:
-        """Seconds until an answer would be late that begins with the reading of the prompt."""
+    def target_left_s(self) -> float:
+        """Seconds left to start the prefill so that the answer begins within its target."""
         reading_s = self.state.prefill_pace(self.service).prefill_s(self.facts.prompt_tokens)
-        elapsed_s = self.before_s + self.now - self.started_at
+        elapsed_s = self.earlier_tries_s + self.now - self.started_at
         return self.route.target_s - elapsed_s - reading_s
 
     @property
     def time_left_s(self) -> float:
-        """How long the caller still waits."""
+        """Seconds until the caller's deadline."""
         return max(0.0, self.deadline_at - self.now)
 
     @property
     def backoff_left_s(self) -> float:
-        """When the first worker takes work again, if all that could serve the request rest."""
+        """Seconds until a worker accepts work again, if all rest or are at a limit; else 0."""
         stage = Stage.DECODE if self.engine is not None else None
         return self.state.workers.backoff_left_s(self.service, self.now, stage=stage)
 
     def choose(
         self, stage: Stage | None, *, near: str = ""
     ) -> tuple[TrackedWorker, ChoiceRecord] | None:
-        """A worker for the next sending, within the route's attempts; best in the zone ``near``."""
+        """Choose a worker for the next attempt, preferably in the zone ``near``."""
         candidates = self.candidates(stage)
-        if chooses_by_end(self.state, self.service):
-            return self.end_choice(stage, near=near).choose(candidates)
+        if selects_by_completion_time(self.state, self.service):
+            return self.completion_time_selector(stage, near=near).select(candidates)
         return choose(
             candidates,
             context=self.choice_context(stage, near=near),
-            avoid=self.avoid | self.full,
+            avoid=self.avoid | self.full_workers,
             now=self.now,
             rng=self.state.rng,
             affinity=self.facts.last_prompt_part if stage is Stage.DECODE else "",
         )
 
     def candidates(self, stage: Stage | None) -> list[TrackedWorker]:
-        """Workers that the next sending may go to, those to be avoided among them."""
-        if self.connect_failures >= MAX_CONNECT_TRIES:
+        """Return the workers that the next attempt may use, including those to avoid."""
+        if self.connect_failures >= MAX_CONNECT_FAILURES:
             return []
         candidates = self.state.workers.usable(self.service, self.now, stage=stage)
         if stage is Stage.DECODE:
-            candidates = self._within_lane(candidates)
+            candidates = self._within_size_lane(candidates)
         if len(self.workers_sent_to) >= self.route.max_attempts:
             candidates = [b for b in candidates if b.worker.id in self.workers_sent_to]
         return candidates
 
-    def end_choice(self, stage: Stage | None, *, near: str = "") -> EndChoice:
-        """A choice by predicted end for the next sending."""
+    def completion_time_selector(
+        self, stage: Stage | None, *, near: str = ""
+    ) -> CompletionTimeSelector:
+        """Return a selector by completion time for the next attempt."""
         context = self.choice_context(stage, near=near)
-        return EndChoice(request=self, stage=stage, context=context, avoid=self.avoid | self.full)
+        return CompletionTimeSelector(
+            request=self, stage=stage, context=context, avoid=self.avoid | self.full_workers
+        )
 
     @property
     def is_large(self) -> bool:
-        """Whether the request needs most of an engine of its service."""
+        """Whether the request needs most of the memory of an engine."""
         engine = self.engine
         if engine is None:
             return False
@@ -210,8 +217,8 @@
             self.facts.prompt_tokens + self.facts.planned_output_tokens, engine.kv_tokens
         )
 
-    def _within_lane(self, candidates: list[TrackedWorker]) -> list[TrackedWorker]:
-        """The decode workers that requests of this size may have."""
+    def _within_size_lane(self, candidates: list[TrackedWorker]) -> list[TrackedWorker]:
+        """Return the decode workers that requests of this size may use."""
         engine = self.engine
         if engine is None or self.state.ways.room is RoomMode.BLIND:
             return candidates
@@ -219,17 +226,17 @@
             candidates,
             is_large_request=self.is_large,
             share=self.state.lane_share(self.service, engine.kv_tokens),
-            rejected_ids=self.avoid | self.full,
+            rejected_ids=self.avoid | self.full_workers,
         )
 
     def has_other_worker(self, stage: Stage | None) -> bool:
-        """Whether there is a worker besides the last one that did not fail this request."""
+        """Whether there is another worker than the last one that has not failed this request."""
         usable = self.state.workers.usable(self.service, self.now, stage=stage)
         passed_over = self.avoid | {self.last_worker}
         return any(tracked.worker.id not in passed_over for tracked in usable)
 
     def choice_context(self, stage: Stage | None, *, near: str = "") -> ChoiceContext:
-        """What a choice for this request goes by, besides the workers."""
+        """Return what a choice of a worker depends on, apart from the workers themselves."""
         full_tokens = 0
         if (engine := self.engine) is not None:
             is_prefill = stage is Stage.PREFILL
@@ -238,15 +245,15 @@
         return ChoiceContext(zone=zone, peers=self.state.peers, kv_tokens=full_tokens)
 
     def describe_choice(self, tracked: TrackedWorker, *, candidates: int) -> ChoiceRecord:
-        """What is known of a worker that was not chosen by cost."""
+        """Describe a worker that was not chosen by cost, for the log."""
         return describe_choice(
             tracked, self.choice_context(tracked.worker.stage), self.now, candidates=candidates
         )
 
-    async def take_permit(self, tracked: TrackedWorker, *, calls: int = 1) -> bool:
-        """Leave for calls of a chosen worker; False if it may not be used now after all.
+    async def acquire_permit(self, tracked: TrackedWorker, *, calls: int = 1) -> bool:
+        """Acquire permits for calls of a chosen worker; False if it may not be used now.
 
-        A request that others could serve does not wait for it.
+        The request only waits for permits if no other worker could serve it.
         """
         state = self.state
         worker = tracked.worker
@@ -255,30 +262,35 @@
         usable = state.workers.usable(self.service, self.now, stage=worker.stage)
         others = [b for b in usable if b is not tracked and b.worker.id not in self.avoid]
         advice = state.workers.advice
-        wish = advice.active_advice(worker.id, self.now)
-        asked = self.permit_wish(calls=calls, patience_s=0.0 if others else self.time_left_s)
-        may_call = await state.permits.take(worker, asked)
-        if may_call and advice.active_advice(worker.id, self.now) != wish:
-            # It said so while the permit was asked for: it is chosen anew, or another one.
-            state.permits.give_back(worker, calls)
+        told_before = advice.active_advice(worker.id, self.now)
+        permit_request = self.permit_request(
+            calls=calls, patience_s=0.0 if others else self.time_left_s
+        )
+        may_call = await state.permits.acquire(worker, permit_request)
+        if may_call and advice.active_advice(worker.id, self.now) != told_before:
+            # The worker sent a new signal during the wait for the permit, so choose again.
+            state.permits.release(worker, calls)
             return False
         return may_call
 
-    def permit_wish(self, *, calls: int = 1, patience_s: float = 0.0) -> PermitWish:
-        """What the request asks of a worker that names a limit."""
+    def permit_request(self, *, calls: int = 1, patience_s: float = 0.0) -> PermitRequest:
+        """Return the permit request for calls of a worker that states a rate limit."""
         rank = self.rank
         if not self.is_ordered:
             rank = max(0, rank - self.state.most_urgent(self.service))
-        return PermitWish(calls=calls, patience_s=patience_s, rank=rank, request_id=self.facts.id)
+        return PermitRequest(
+            calls=calls, patience_s=patience_s, rank=rank, request_id=self.facts.id
+        )
 
-    def may_send_again(self) -> bool:
-        """Take a repeat out of the budget; the first sending needs none.
+    def spend_retry_budget(self) -> bool:
+        """Take one retry from the service's budget; return whether the request may be sent.
 
-        Nothing is sent on that ends workers: another box may have seen the third one end meanwhile.
+        The first attempt needs no budget. A request that crashes workers isn't sent again: another
+        box may have seen the third crash in the meantime.
         """
-        if self.ends_workers:
+        if self.crashes_workers:
             return False
-        if self.arrivals == 0:
+        if self.deliveries == 0:
             return True
         window = self.state.budget(self.service)
         if window.spend(self.now, boxes=self.state.boxes):
@@ -293,14 +305,14 @@
         return False
 
     def log(self, kind: Decision, *, outcome: str = "", **inputs: object) -> None:
-        """Write a line about this request."""
+        """Log one decision about this request."""
         elapsed_ms = round((self.now - self.started_at) * 1000, 1)
         self.state.log.decide(
             kind, request_id=self.facts.id, outcome=outcome, elapsed_ms=elapsed_ms, **inputs
         )
 
-    def answered(self, status: int, worker: str) -> None:
-        """Log and count an answer that the caller has in whole."""
+    def record_answered(self, status: int, worker: str) -> None:
+        """Log and count an answer that the caller has received in full."""
         now = self.now
         outcome = "ok" if status < 400 else f"status_{status}"
         labels = {"route": self.route.name}
@@ -322,16 +334,16 @@
     def refuse(
         self, code: Code, ran: Ran, detail: str, *, expected_wait_s: float | None = None
     ) -> None:
-        """Give the request up: the final answer goes out at once.
+        """Send the caller a refusal, and log and count it.
 
-        ``expected_wait_s`` is when it will likely be served, if that is known.
+        ``expected_wait_s`` is the time after which the request is likely to be served, if known.
         """
-        if self.ends_workers and ran is Ran.NOT_RUN:
+        if self.crashes_workers and ran is Ran.NOT_RUN:
             code, detail = Code.ENDS_WORKERS, self._crash_detail()
         self.has_not_run = ran is Ran.NOT_RUN
         lacks_worker = code in (Code.NO_UPSTREAM, Code.NO_CAPACITY) and ran is Ran.NOT_RUN
         if lacks_worker and (backoff_left_s := self.backoff_left_s) > 0.0:
-            detail = "all workers asked for rest, or take no more calls for now"
+            detail = "all workers asked for rest or have reached their rate limit"
             expected_wait_s = backoff_left_s
         retry_after_s = None
         if expected_wait_s is not None:
@@ -339,13 +351,15 @@
                 expected_wait_s, jitter=self.state.rng.random()
             )
         elif code is Code.ENDS_WORKERS:
-            retry_after_s = round(self._refused_s, 3)
+            retry_after_s = round(self._crash_refusal_s, 3)
         elif code is Code.PROMPT_TOO_LONG:
             retry_after_s = timeouts.NEVER_FITS_RETRY_AFTER_S
         elif ran is Ran.NOT_RUN:
             retry_after_s = timeouts.retry_after(
                 self.time_left_s,
-                mean_wait_s=self.mean_room_wait_s if self.full or self.held_back else None,
+                mean_wait_s=(
+                    self.mean_room_wait_s if self.full_workers or self.is_held_back else None
+                ),
                 jitter=self.state.rng.random(),
             )
         refusal = Refusal(code=code, ran=ran, detail=detail, retry_after_s=retry_after_s)
@@ -353,7 +367,7 @@
         self.exchange.send(answer.status, answer.headers, answer.body)
         labels = {"route": self.route.name, "outcome": code.value}
         self.state.metrics.requests.inc(labels)
-        count_refusal(self, code, ran)
+        count_room_refusal(self, code, ran)
         self.log(
             Decision.REQUEST_REFUSED,
             outcome=code.value,
@@ -369,15 +383,15 @@
             config_version=self.state.table.version if self.state.table else 0,
             config_age_s=round(self.now - self.state.table_at, 1),
             workers_age_s=round(self.now - self.state.workers.heard_at, 1),
-            **order_facts(self),
+            **queue_log_fields(self),
         )
 
     def _crash_detail(self) -> str:
         lives = self.state.crashes.crash_count(self.digest)
-        return f"{lives} workers ended under this request of the same caller"
+        return f"{lives} workers crashed while running this request of the same caller"
 
-    def broken(self, reason: str) -> None:
-        """Break a begun answer off, so that it cannot look whole."""
+    def abort_answer(self, reason: str) -> None:
+        """Abort an answer that has started, so that it can't be taken for a complete one."""
         self.exchange.abort()
         labels = {"route": self.route.name, "outcome": "broken"}
         self.state.metrics.requests.inc(labels)
--- a/src/croftchute/forwarding/workers/room_turn.py
+++ b/src/croftchute/forwarding/workers/room_wait_policy.py
@@ -1,46 +1,46 @@
-"""How one request waits for decode memory: when it asks, and what others learn of its wait."""
+"""How a request waits for decode memory: when it asks, and which statistics it updates."""
 
 from __future__ import annotations
 
 import math
 from typing import Protocol
 
+from croftchute.forwarding.workers.queue_reporting import count_over_share
 from croftchute.forwarding.workers.request_run import RequestRun
-from croftchute.forwarding.workers.room_report import count_over_share
 from croftchute.systems import room_order
 from croftchute.systems.room_forecast import RoomHistory
 
 
-class RoomTurn(Protocol):
-    """One request's wait; always end it with :meth:`close`."""
+class RoomWaitPolicy(Protocol):
+    """The wait of one request; always end it with :meth:`close`."""
 
     def may_ask(self, now: float) -> bool:
-        """Whether the request asks for room now, or leaves what there is to others."""
+        """Whether the request asks for room now instead of yielding to others."""
         ...
 
-    def takes_last_chance(self) -> bool:
-        """Whether a request that is about to be refused asks once more."""
+    def may_ask_finally(self) -> bool:
+        """Whether a request that is about to be refused asks one last time."""
         ...
 
     def pause_s(self, now: float) -> float:
-        """Seconds until the request looks again."""
+        """Return the seconds until the request checks again."""
         ...
 
     def waited(self, seconds: float, now: float) -> None:
-        """The request waited, and has no room yet."""
+        """Record a wait after which the request still has no room."""
         ...
 
     def granted(self, now: float) -> None:
-        """The request got room."""
+        """Record that the request got room."""
         ...
 
     def close(self) -> None:
-        """The request waits no longer, whatever came of it."""
+        """Record that the request no longer waits, with or without room."""
         ...
 
 
-class PollingTurn:
-    """Asks again at one interval, whoever else waits."""
+class PollingWait:
+    """Asks at a fixed interval, regardless of other waiting requests."""
 
     def __init__(self, *, history: RoomHistory, poll_s: float) -> None:
         self.history = history
@@ -48,119 +48,120 @@
         self._has_waited = False
 
     def may_ask(self, now: float) -> bool:
-        """It always does."""
+        """Always ask."""
         return True
 
-    def takes_last_chance(self) -> bool:
-        """It has asked each time."""
+    def may_ask_finally(self) -> bool:
+        """Return False: the request has asked every time."""
         return False
 
     def pause_s(self, now: float) -> float:
-        """The same each time."""
+        """Return the fixed interval."""
         return self.poll_s
 
     def waited(self, seconds: float, now: float) -> None:
-        """Counts for the forecast of all requests of the service."""
+        """Add the wait to the forecast for all requests of the service."""
         self._has_waited = True
         self.history.note_waited(seconds, now)
 
     def granted(self, now: float) -> None:
-        """Counts only after a wait: room that is there at once tells nothing of waits."""
+        """Add a grant to the forecast after a wait; an immediate one says nothing about waits."""
         if self._has_waited:
             self.history.note_granted(now)
 
     def close(self) -> None:
-        """Nothing is held."""
+        """Do nothing: no state outlives the wait."""
 
 
-class RequestUse:
-    """What one request asks for and gets, counted for its organisation once.
+class RequestUsage:
+    """Counts the tokens that a request asks for and is granted, once for its organisation.
 
-    A request that no worker took in the end asks for room again.
+    A request asks for room again if the worker that granted it did not accept the request. Only the
+    first ask and the first grant count.
     """
 
     def __init__(self, *, run: RequestRun) -> None:
         self.run = run
-        self._name = run.facts.organisation
+        self._organisation = run.facts.organisation
         self._tokens = run.facts.prompt_tokens + run.facts.planned_output_tokens
         self._asked_at: float | None = None
         self._has_room = False
 
     def asked(self, now: float) -> None:
-        """The request asks for room."""
-        if self._name and self._asked_at is None:
+        """Count the request's tokens as asked for."""
+        if self._organisation and self._asked_at is None:
             self._asked_at = now
             use = self.run.state.organisation_use(self.run.service)
-            use.note_asked(self._name, self._tokens, now)
+            use.note_asked(self._organisation, self._tokens, now)
 
     def granted(self, now: float) -> None:
-        """The request got room."""
+        """Count the request's tokens as granted."""
         if self._asked_at is not None and not self._has_room:
             self._has_room = True
             use = self.run.state.organisation_use(self.run.service)
-            use.note_granted(self._name, self._tokens, now, waited_s=now - self._asked_at)
+            use.note_granted(self._organisation, self._tokens, now, waited_s=now - self._asked_at)
 
 
-class RankedTurn:
-    """Asks the more often the more urgent it is, and leaves room to more urgent requests."""
+class RankedWait:
+    """Yields to more urgent requests, and asks more often the more urgent the request is."""
 
-    def __init__(self, *, run: RequestRun, use: RequestUse) -> None:
+    def __init__(self, *, run: RequestRun, usage: RequestUsage) -> None:
         self.run = run
-        self.use = use
+        self.usage = usage
         self.room = run.state.ranked_room(run.service)
         self._rank: int | None = None
         self._had_last_chance = False
         self._has_asked = False
-        use.asked(run.now)
+        usage.asked(run.now)
 
     def may_ask(self, now: float) -> bool:
-        """Whether no more urgent rank waits too long; once, before it is late, all the same."""
+        """Whether no more urgent rank waits too long; once before the target, in any case."""
         run = self.run
         count_over_share(run)
         way = run.state.room_order(run.service)
         if not run.state.room_view(run.service).holds_back(run.room_rank, way):
             self._has_asked = True
             return True
-        is_last_chance = 0.0 < run.in_time_left_s <= room_order.FINAL_POLL_LEAD_S
+        is_last_chance = 0.0 < run.target_left_s <= room_order.FINAL_POLL_LEAD_S
         may_ask = is_last_chance and not self._had_last_chance
         self._had_last_chance |= is_last_chance
         return may_ask
 
-    def takes_last_chance(self) -> bool:
-        """Whether it held back all the time: no rank is shut out by the waits of another."""
+    def may_ask_finally(self) -> bool:
+        """Whether it has never asked: no rank is starved by the waits of more urgent ones."""
         may_ask = not (self._has_asked or self._had_last_chance)
         self._had_last_chance = True
         return may_ask
 
     def pause_s(self, now: float) -> float:
-        """By the rank, and not beyond the moment at which it would be late."""
+        """Return the pause of the request's rank, cut short at its last chance to be in time."""
         run = self.run
-        self._wait_as(run.room_rank)
-        # One that is late already leaves room to others.
-        target_s = run.route.target_s if run.in_time_left_s > 0.0 else math.inf
+        self._count_as_waiting(run.room_rank)
+        # A late request yields room to others, so its target does not shorten the pause.
+        target_s = run.route.target_s if run.target_left_s > 0.0 else math.inf
         pause_s = room_order.poll_interval_s(run.room_rank, target_s=target_s)
-        left_s = run.in_time_left_s - room_order.FINAL_POLL_LEAD_S / 2
+        left_s = run.target_left_s - room_order.FINAL_POLL_LEAD_S / 2
         if left_s <= 0.0:
             return pause_s
         return min(pause_s, max(room_order.MIN_POLL_INTERVAL_S, left_s))
 
     def waited(self, seconds: float, now: float) -> None:
-        """Counts for the forecast of its rank, and of all less urgent ones."""
+        """Add the wait to the forecast for its rank and all less urgent ones."""
         if self._rank is not None:
             self.room.note_waited(self._rank, seconds, now)
 
     def granted(self, now: float) -> None:
-        """Counts for the forecast only after a wait."""
+        """Add the grant to the forecast, if the request has waited."""
         if self._rank is not None:
             self.room.note_granted(self._rank, now)
-        self.use.granted(now)
+        self.usage.granted(now)
 
     def close(self) -> None:
-        """It is not among those that wait any more."""
-        self._wait_as(None)
+        """Remove the request from those that wait."""
+        self._count_as_waiting(None)
 
-    def _wait_as(self, rank: int | None) -> None:
-        """Count the request among those that wait with a rank, which may change meanwhile."""
+    def _count_as_waiting(self, rank: int | None) -> None:
+        """Count the request as waiting by ``rank``, which may change during the wait."""
         if rank == self._rank:
             return
         if self._rank is not None:
--- a/src/croftchute/forwarding/workers/stream_run.py
+++ b/src/croftchute/forwarding/workers/stream_run.py
@@ -1,4 +1,4 @@
-"""Requests whose answer is a stream of events: prefill, decode, and going on elsewhere."""
+"""Requests whose answer is a stream of events: prefill, decode and failover."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
     ExchangeError,
 )
 from croftchute.forwarding.http.http_client import ResponseHead
-from croftchute.forwarding.workers.answer_end import answered_once_read
-from croftchute.forwarding.workers.decode_room import DecodeRoom
-from croftchute.forwarding.workers.kept_prompts import find_keeper
-from croftchute.forwarding.workers.part_reader import PartReader
-from croftchute.forwarding.workers.prompt_reader import PromptReader
+from croftchute.forwarding.workers.answer_completion import finish_answer
+from croftchute.forwarding.workers.chunk_reader import ChunkReader
+from croftchute.forwarding.workers.decode_reservation import DecodeReservation
+from croftchute.forwarding.workers.prompt_cache_lookup import find_cached_worker
+from croftchute.forwarding.workers.prompt_prefill import PromptPrefill
 from croftchute.forwarding.workers.request_run import RequestRun
 from croftchute.forwarding.workers.worker_call import WorkerCall
 from croftchute.systems import timeouts
@@ -33,56 +33,57 @@
 
 @dataclass(kw_only=True)
 class StreamProgress:
-    """How far the stream has come at the caller, and what is known of its attempts.
+    """How much of the stream the caller has received, and the state of the attempts.
 
-    ``may_return_at_once``: a refused reading took the last attempt; the next try needs none.
+    ``may_retry_at_once``: a rejected prefill used up the last attempt. The caller's next try needs
+    no prefill worker, so it may come at once.
     """
 
     last_event: int | None
-    events: int = 0
+    event_count: int = 0
     may_have_run: bool = False
-    is_whole: bool = False
+    is_complete: bool = False
     is_answered: bool = False
     code: Code = Code.NO_UPSTREAM
-    detail: str = "no worker is known to be usable"
-    started_worker: str = ""
-    may_return_at_once: bool = False
+    detail: str = "no usable worker is known"
+    serving_worker: str = ""
+    may_retry_at_once: bool = False
 
 
 class StreamRun:
-    """One streaming request: at most one prefill ahead, then attempts at decode workers."""
+    """One streaming request: at most one separate prefill, then attempts at decode workers."""
 
     def __init__(self, *, run: RequestRun) -> None:
         self.run = run
         self.progress = StreamProgress(last_event=run.facts.resume_after)
-        self.reader = PromptReader(run=run)
-        self.room = DecodeRoom(run=run)
+        self.prefill = PromptPrefill(run=run)
+        self.reservation = DecodeReservation(run=run)
 
     async def serve(self) -> None:
-        """Run the stream to its end, or give it up."""
+        """Run the stream to its end, or refuse or abort it."""
         try:
-            await self._attempts()
+            await self._run_attempts()
         finally:
-            self._free_unused()
+            self._release_unused()
         progress = self.progress
         if progress.is_answered:
             return
-        if progress.is_whole:
+        if progress.is_complete:
             self.run.exchange.finish()
-            await answered_once_read(self.run, 200, progress.started_worker)
+            await finish_answer(self.run, 200, progress.serving_worker)
         elif self.run.exchange.is_started:
-            self.run.broken(progress.detail)
+            self.run.abort_answer(progress.detail)
         else:
             self._refuse()
 
-    async def _attempts(self) -> None:
+    async def _run_attempts(self) -> None:
         run = self.run
         facts = run.facts
         engine = run.engine
         if engine is not None and not timeouts.can_ever_fit(facts.prompt_tokens, engine.kv_tokens):
             self.progress.code = Code.PROMPT_TOO_LONG
             self.progress.detail = (
-                f"a prompt of {facts.prompt_tokens} tokens; an engine keeps {engine.kv_tokens}"
+                f"prompt has {facts.prompt_tokens} tokens; an engine holds {engine.kv_tokens}"
             )
             return
         run.state.demand(run.service).note_ask(
@@ -92,49 +93,49 @@
             is_large=run.is_large,
         )
         if facts.resume_after is not None:
-            self.reader.keeper = self.room.kept_at = await find_keeper(run)
-        while run.time_left_s > 0.0 and not self._is_over():
-            found = await self.room.reserve()
-            self._note_room()
+            self.prefill.cached_worker_id = self.reservation.cached_worker_id = (
+                await find_cached_worker(run)
+            )
+        while run.time_left_s > 0.0 and not self._is_finished():
+            found = await self.reservation.reserve()
+            self._note_refusal_cause()
             if found is None:
                 return
-            source = await self.reader.read_for(found[0])
+            source = await self.prefill.prefill_for(found[0])
             if run.state.workers.advice.backoff_left_s(found[0].worker.id, run.now) > 0.0:
-                # It asked for rest while the prompt was read: its room is left for another's.
-                self.room.drop_unused()
+                # The worker asked for rest during the prefill: reserve at another one.
+                self.reservation.release_unused()
                 continue
             if len(run.workers_sent_to) >= run.route.max_attempts and (
                 found[0].worker.id not in run.workers_sent_to
             ):
-                self.progress.may_return_at_once = self._prefill_rests()
+                self.progress.may_retry_at_once = self._are_prefill_workers_resting()
                 return
-            if not run.may_send_again():
+            if not run.spend_retry_budget():
                 return
             await self._decode(*found, source)
 
-    def _is_over(self) -> bool:
+    def _is_finished(self) -> bool:
         progress = self.progress
-        if progress.is_whole or progress.is_answered or self.run.ends_workers:
+        if progress.is_complete or progress.is_answered or self.run.crashes_workers:
             return True
         return progress.may_have_run and not self.run.route.may_repeat
 
-    def _prefill_rests(self) -> bool:
-        """Whether prompts are read by decode workers alone, as those that read ahead rest."""
+    def _are_prefill_workers_resting(self) -> bool:
+        """Whether only decode workers prefill, as the prefill workers asked for rest."""
         run = self.run
         return run.state.workers.backoff_left_s(run.service, run.now, stage=Stage.PREFILL) > 0.0
 
-    def _note_room(self) -> None:
-        """Keep why no worker had room, for the caller's answer if none is found."""
-        if self.room.code is not None:
-            self.progress.code = self.room.code
-        if self.room.detail:
-            self.progress.detail = self.room.detail
-
-    def _free_unused(self) -> None:
-        self.reader.free_unused()
-        self.room.drop_unused()
+    def _note_refusal_cause(self) -> None:
+        """Keep the reason why no worker had room, for a refusal."""
+        if self.reservation.code is not None:
+            self.progress.code = self.reservation.code
+        if self.reservation.detail:
+            self.progress.detail = self.reservation.detail
 
-    # Decode.
+    def _release_unused(self) -> None:
+        self.prefill.release_unused_handle()
+        self.reservation.release_unused()
 
     async def _decode(
         self, tracked: TrackedWorker, chosen: ChoiceRecord, source: PrefillHandle | None
@@ -146,61 +147,61 @@
             time_left_s=run.time_left_s,
             priority=run.rank,
             source=source,
-            hold=self.room.hold,
+            hold=self.reservation.hold,
             resume_after=progress.last_event,
         )
         call = WorkerCall(run=run, tracked=tracked, send=send, chosen=chosen)
         try:
             await call.open()
-            self.room.note_used()
-            run.arrivals += 1
+            self.reservation.mark_used()
+            run.deliveries += 1
             run.workers_sent_to.add(tracked.worker.id)
-            await self._take(call, source)
+            await self._receive_answer(call, source)
         except ConnectFailedError as error:
-            self.room.drop_unused()
+            self.reservation.release_unused()
             run.connect_failures += 1
-            call.failed(error)
+            call.record_failure(error)
             progress.code, progress.detail = error.code, error.message
         except CallerSlowError as error:
             progress.may_have_run = True
-            call.given_up(error)
+            call.record_slow_caller(error)
             progress.code, progress.detail = error.code, error.message
         except ExchangeError as error:
             progress.may_have_run = True
-            self.reader.doubt()
-            call.failed(error)
+            self.prefill.invalidate_handle()
+            call.record_failure(error)
             progress.code, progress.detail = error.code, error.message
             if error.code is Code.UPSTREAM_FAILED:
-                self.room.kept_at = tracked.worker.id
+                self.reservation.cached_worker_id = tracked.worker.id
         finally:
             call.close()
 
-    async def _take(self, call: WorkerCall, source: PrefillHandle | None) -> None:
+    async def _receive_answer(self, call: WorkerCall, source: PrefillHandle | None) -> None:
         run = self.run
         wait_s = run.time_left_s
-        if self._may_go_elsewhere():
-            wait_s = self._first_event_patience(source)
-        head = await call.head(wait_s)
+        if self._can_fail_over():
+            wait_s = self._first_event_timeout_s(source)
+        head = await call.read_head(wait_s)
         verdict = run.state.workers_speak.verdict(head)
         if verdict is Verdict.ANSWERED:
             if not run.state.workers_speak.is_genuine(head):
-                raise ConnectionBrokenError("a success without the worker's proof")
-            self.reader.taken()
-            await self._pass_on(call, head, wait_s)
+                raise ConnectionBrokenError("success response lacks proof that the worker sent it")
+            self.prefill.mark_handle_used()
+            await self._relay_stream(call, head, wait_s)
             return
-        body = await call.body(run.time_left_s)
+        body = await call.read_body(run.time_left_s)
         if verdict is Verdict.FAILED:
-            self._take_failure(call, head, body)
+            self._handle_failure(call, head, body)
             return
         self.progress.code = Code.NO_CAPACITY
-        self.progress.detail = f"worker said {verdict.value}"
+        self.progress.detail = f"worker rejection: {verdict.value}"
         if source is not None and verdict is Verdict.NOT_RUN:
-            call.lacked(source)
-            self._free_unused()
+            call.record_cache_fetch_failure(source)
+            self._release_unused()
         else:
-            call.rejected(verdict)
+            call.record_rejection(verdict)
 
-    def _first_event_patience(self, source: PrefillHandle | None) -> float:
+    def _first_event_timeout_s(self, source: PrefillHandle | None) -> float:
         run = self.run
         if source is not None:
             return timeouts.first_event_timeout_s(run.route, time_left_s=run.time_left_s)
@@ -213,50 +214,52 @@
             run.route, predicted_s=times.local_s, time_left_s=run.time_left_s
         )
 
-    def _may_go_elsewhere(self) -> bool:
+    def _can_fail_over(self) -> bool:
         run = self.run
         has_attempts = len(run.workers_sent_to) < run.route.max_attempts
         return run.route.may_repeat and has_attempts and run.has_other_worker(Stage.DECODE)
 
-    def _take_failure(self, call: WorkerCall, head: ResponseHead, body: bytes) -> None:
-        call.faulty(head.status)
+    def _handle_failure(self, call: WorkerCall, head: ResponseHead, body: bytes) -> None:
+        call.record_error_status(head.status)
         progress = self.progress
         progress.may_have_run = True
         progress.code = Code.UPSTREAM_FAILED
-        progress.detail = f"worker answered {head.status}"
-        if self._may_go_elsewhere() or self.run.exchange.is_started:
+        progress.detail = f"worker answered with status {head.status}"
+        if self._can_fail_over() or self.run.exchange.is_started:
             return
         if head.status in (408, 421, 429, 503):
             return
         headers = self.run.state.workers_speak.answer_headers(head)
         self.run.exchange.send(head.status, headers, body)
-        self.run.answered(head.status, call.worker.id)
+        self.run.record_answered(head.status, call.worker.id)
         progress.is_answered = True
 
-    async def _pass_on(self, call: WorkerCall, head: ResponseHead, first_wait_s: float) -> None:
+    async def _relay_stream(
+        self, call: WorkerCall, head: ResponseHead, first_chunk_timeout_s: float
+    ) -> None:
         run = self.run
         progress = self.progress
         splitter = EventSplitter()
         is_resumed = progress.last_event is not None
-        parts = PartReader(
+        chunks = ChunkReader(
             run=run,
             call=call,
-            first_wait_s=first_wait_s,
-            may_go_elsewhere=self._may_go_elsewhere,
+            first_chunk_timeout_s=first_chunk_timeout_s,
+            can_fail_over=self._can_fail_over,
         )
-        while part := await parts.next():
-            events = splitter.feed(part)
+        while chunk := await chunks.read():
+            events = splitter.feed(chunk)
             if events:
-                await self._write(call, head, events)
+                await self._write_events(call, head, events)
                 if self.run.exchange.is_bounded and self.run.exchange.is_held_up:
                     await call.wait_for_caller()
-                    parts.note_resumed()
+                    chunks.mark_resumed()
         if splitter.leftover:
-            raise ConnectionBrokenError("stream ended inside an event")
+            raise ConnectionBrokenError("stream ended in the middle of an event")
         if not run.exchange.is_started:
-            self._start(call, head)
-        call.succeeded()
-        progress.is_whole = True
+            self._start_answer(call, head)
+        call.record_success()
+        progress.is_complete = True
         if not is_resumed and run.first_byte_at is not None:
             run.state.demand(run.service).note_ended(
                 run.now,
@@ -264,28 +267,30 @@
                 seconds=run.now - run.first_byte_at,
             )
 
-    async def _write(self, call: WorkerCall, head: ResponseHead, events: list[StreamEvent]) -> None:
+    async def _write_events(
+        self, call: WorkerCall, head: ResponseHead, events: list[StreamEvent]
+    ) -> None:
         progress = self.progress
         data: list[bytes] = []
         for event in events:
             if event.number is not None:
                 last = progress.last_event
                 if last is not None and event.number <= last:
-                    raise ConnectionBrokenError(f"event {event.number} after event {last}")
+                    raise ConnectionBrokenError(f"event {event.number} came after event {last}")
                 progress.last_event = event.number
-            progress.events += 1
+            progress.event_count += 1
             data.append(event.data)
         if not self.run.exchange.is_started:
-            self._start(call, head)
+            self._start_answer(call, head)
         exchange = self.run.exchange
         exchange.write(b"".join(data))
         if exchange.is_held_up and not exchange.is_bounded:
             await within(exchange.drained(), self.run.time_left_s, "caller did not read")
 
-    def _start(self, call: WorkerCall, head: ResponseHead) -> None:
+    def _start_answer(self, call: WorkerCall, head: ResponseHead) -> None:
         run = self.run
         run.first_byte_at = run.now
-        self.progress.started_worker = call.worker.id
+        self.progress.serving_worker = call.worker.id
         headers: HeaderList = run.state.workers_speak.answer_headers(head)
         run.exchange.start(head.status, head.reason, headers)
 
@@ -297,7 +302,7 @@
                 _not_run_code(progress.code),
                 Ran.NOT_RUN,
                 progress.detail,
-                expected_wait_s=0.0 if progress.may_return_at_once else None,
+                expected_wait_s=0.0 if progress.may_retry_at_once else None,
             )
             return
         is_late = run.time_left_s <= 0.0
@@ -310,12 +315,12 @@
 
 
 async def run_stream(run: RequestRun) -> None:
-    """Serve one streaming request."""
+    """Serve one streaming request, and log it if the caller leaves."""
     stream = StreamRun(run=run)
     try:
         await stream.serve()
     except asyncio.CancelledError:
         has_left = run.exchange.caller_has_left and not run.exchange.is_cut_off
         kind = Decision.CALLER_LEFT if has_left else Decision.REQUEST_BROKEN
-        run.log(kind, events=stream.progress.events, worker=run.last_worker)
+        run.log(kind, events=stream.progress.event_count, worker=run.last_worker)
         raise
--- a/src/croftchute/forwarding/workers/worker_control.py
+++ b/src/croftchute/forwarding/workers/worker_control.py
@@ -1,4 +1,4 @@
-"""The router's own short calls of workers: holds taken and dropped, handles freed."""
+"""The router's own short calls of workers: holds, handles, cache lists and stage orders."""
 
 from __future__ import annotations
 
@@ -14,28 +14,28 @@
     ExchangeError,
 )
 from croftchute.forwarding.http.http_client import ResponseHead
-from croftchute.forwarding.permits import PermitWish
+from croftchute.forwarding.permits import PermitRequest
 from croftchute.forwarding.state import ForwardingState
-from croftchute.forwarding.workers.load_reader import note_told_pace
-from croftchute.forwarding.workers.wish_reader import note_displaced, note_wish
+from croftchute.forwarding.workers.load_and_pace import record_reported_pace
+from croftchute.forwarding.workers.worker_signals import record_displaced, record_signals
 from croftchute.systems import timeouts
 from croftchute.tables.routing import Stage, Worker
 
-MAX_CONTROL_BYTES = 1 << 20
+MAX_CONTROL_BODY_BYTES = 1 << 20
 STATUS_OK = 200
 
 STATUS_NOT_PERMITTED = 429
-"""Stands for the answer of a worker that was not called, as a limit that it names is reached."""
+"""Reported instead of an answer if the worker was not called because of its rate limit."""
 
-REPORT_AND_ORDER = 2
-"""Calls of a worker that an order takes."""
+CALLS_PER_STAGE_ORDER = 2
+"""Calls of a worker for one stage order: its report and the order itself."""
 
-STATUS_OTHER_LIFE = 421
-"""Stands for the answer of a worker that took no order as it is not the one that was meant."""
+STATUS_OTHER_PROCESS = 421
+"""Reported instead of an answer if the worker has restarted since the order was decided."""
 
-LONGEST_LEASE_S = 10.0
-"""Seconds for which a worker keeps a hold or a handle at most that nobody uses: the sites' sheets
-name 0.5 to 2. What a worker that rests for longer keeps is left to lapse."""
+MAX_HOLD_S = 10.0
+"""Longest time in seconds that a worker keeps an unused hold or handle; the sites' data sheets say
+0.5 to 2. If a worker asked for a longer rest, its holds and handles are left to expire."""
 
 
 async def control_call(
@@ -46,10 +46,10 @@
     *,
     answer_s: float | None = None,
 ) -> tuple[int, bytes]:
-    """Status and body of a short call; raises :class:`ExchangeError`.
+    """Make a short call; return its status and body, or raise :class:`ExchangeError`.
 
-    ``timeout_s`` is for the connection and the answer, ``answer_s`` for the answer if it may take
-    longer.
+    ``timeout_s`` bounds the connection and the answer. ``answer_s`` bounds the answer instead, if
+    it may take longer.
     """
     head, body = await control_exchange(state, worker, data, timeout_s, answer_s=answer_s)
     return head.status, body
@@ -63,7 +63,7 @@
     *,
     answer_s: float | None = None,
 ) -> tuple[ResponseHead, bytes]:
-    """Head and body of a short call, as :func:`control_call`."""
+    """Make a short call as :func:`control_call` does; return its head and body."""
     answer_s = timeout_s if answer_s is None else answer_s
     state.workers.advice.note_sent(worker.id, state.clock())
     connection = await state.pool.acquire(
@@ -72,32 +72,33 @@
     try:
         connection.send(data, expected=None)
         head = await within(connection.read_head(), answer_s, "no head")
-        note_wish(state, worker, head, call="control")
-        note_told_pace(state, worker, head)
+        record_signals(state, worker, head, call="control")
+        record_reported_pace(state, worker, head)
         if state.workers_speak.verdict(head) is Verdict.WRONG_WORKER:
-            note_displaced(state, worker)
-        body = await within(connection.read_body(MAX_CONTROL_BYTES), answer_s, "no body")
+            record_displaced(state, worker)
+        body = await within(connection.read_body(MAX_CONTROL_BODY_BYTES), answer_s, "no body")
         return head, body
     finally:
         state.pool.release(connection, worker.host, worker.port, owner=worker.id, now=state.clock())
 
 
-async def take_hold(
+async def acquire_hold(
     state: ForwardingState, worker: Worker, tokens: int, ttl_s: float
 ) -> Hold | None:
-    """Reserve room at a worker; None if it has none, :class:`ExchangeError` if it fails.
+    """Reserve room at a worker; return None if it has none.
 
-    What is granted later than anyone waits for it is given back as soon as the grant comes.
+    Raise :class:`ExchangeError` if the call fails. A hold that is granted too late is released as
+    soon as the grant arrives.
     """
-    asking = asyncio.ensure_future(_ask_for_hold(state, worker, tokens, ttl_s))
+    asking = asyncio.ensure_future(_request_hold(state, worker, tokens, ttl_s))
     try:
         return await within(asyncio.shield(asking), timeouts.HOLD_TIMEOUT_S, "no hold")
     except (AnswerLateError, asyncio.CancelledError):
-        state.spawn(_drop_late_hold(state, asking))
+        state.spawn(_release_late_hold(state, asking))
         raise
 
 
-async def _ask_for_hold(
+async def _request_hold(
     state: ForwardingState, worker: Worker, tokens: int, ttl_s: float
 ) -> Hold | None:
     data = state.workers_speak.take_hold(worker, tokens, ttl_s)
@@ -112,43 +113,43 @@
         raise ConnectionBrokenError(error.message) from None
 
 
-async def _drop_late_hold(state: ForwardingState, asking: asyncio.Future[Hold | None]) -> None:
-    """Give a hold back that nobody waits for any more, if it is granted at all."""
+async def _release_late_hold(state: ForwardingState, asking: asyncio.Future[Hold | None]) -> None:
+    """Release a hold that nobody waits for any more, once it is granted."""
     try:
         hold = await asking
     except ExchangeError as error:
         state.log.decide(Decision.HOLD_DROPPED, outcome=error.code.value, detail=error.message)
         return
     if hold is not None:
-        await drop_hold(state, hold, "")
+        await release_hold(state, hold, "")
 
 
-async def drop_hold(state: ForwardingState, hold: Hold, request_id: str) -> None:
-    """Give back room that nobody will use."""
+async def release_hold(state: ForwardingState, hold: Hold, request_id: str) -> None:
+    """Release a hold that will not be used."""
     data = state.workers_speak.drop_hold(hold)
     await _release(state, hold.worker, data, Decision.HOLD_DROPPED, request_id)
 
 
-async def free_handle(state: ForwardingState, handle: PrefillHandle, request_id: str) -> None:
-    """Free a prompt's KV cache that nobody will fetch."""
+async def release_handle(state: ForwardingState, handle: PrefillHandle, request_id: str) -> None:
+    """Release a prompt's KV cache that no worker will fetch."""
     data = state.workers_speak.release(handle)
     await _release(state, handle.worker, data, Decision.HANDLE_FREED, request_id)
 
 
-async def ask_kept_parts(state: ForwardingState, worker: Worker) -> dict[str, int]:
-    """Tokens that a worker keeps by prompt part; ExchangeError or MessageError if it fails."""
-    if not await state.permits.take(worker):
+async def fetch_cached_parts(state: ForwardingState, worker: Worker) -> dict[str, int]:
+    """Return a worker's cached tokens by prompt part; raise ExchangeError or MessageError."""
+    if not await state.permits.acquire(worker):
         return {}
     data = state.workers_speak.ask_kept(worker)
     status, body = await control_call(state, worker, data, timeouts.PREFIX_LIST_TIMEOUT_S)
     return state.workers_speak.kept(body) if status == STATUS_OK else {}
 
 
-async def give_stage_order(
+async def send_stage_order(
     state: ForwardingState, worker: Worker, stage: Stage, *, holder: str, token: int
 ) -> int:
-    """Order a worker to change its stage, if nothing was ordered since it was asked."""
-    if not await state.permits.take(worker, PermitWish(calls=REPORT_AND_ORDER)):
+    """Order a worker to change its stage, unless it received another order since its report."""
+    if not await state.permits.acquire(worker, PermitRequest(calls=CALLS_PER_STAGE_ORDER)):
         return STATUS_NOT_PERMITTED
     status, body = await control_call(
         state, worker, state.workers_speak.ask_report(worker), timeouts.CONNECT_TIMEOUT_S
@@ -157,8 +158,8 @@
         return status
     report = state.workers_speak.report(body)
     if None not in (report.born_ms, worker.born_ms) and report.born_ms != worker.born_ms:
-        # Another life answers under the name: the order was meant for the one before it.
-        return STATUS_OTHER_LIFE
+        # The worker has restarted: the order was meant for its earlier process.
+        return STATUS_OTHER_PROCESS
     data = state.workers_speak.stage_order(
         worker, stage, holder=holder, token=token, sequence=report.orders_taken
     )
@@ -169,9 +170,9 @@
 async def _release(
     state: ForwardingState, worker: Worker, data: bytes, kind: Decision, request_id: str
 ) -> None:
-    may_call = await _has_rested(state, worker) and await state.permits.take(worker)
+    may_call = await _wait_until_rested(state, worker) and await state.permits.acquire(worker)
     if not may_call:
-        state.log.decide(kind, request_id=request_id, outcome="left to lapse", worker=worker.id)
+        state.log.decide(kind, request_id=request_id, outcome="left to expire", worker=worker.id)
         return
     try:
         status, _ = await control_call(state, worker, data, timeouts.CONNECT_TIMEOUT_S)
@@ -181,10 +182,10 @@
     state.log.decide(kind, request_id=request_id, outcome=outcome, worker=worker.id)
 
 
-async def _has_rested(state: ForwardingState, worker: Worker) -> bool:
-    """Wait until a worker takes calls again; False if what it keeps lapses before."""
+async def _wait_until_rested(state: ForwardingState, worker: Worker) -> bool:
+    """Wait until a worker accepts calls again; False if its holds expire before that."""
     while (rest_s := state.workers.advice.backoff_left_s(worker.id, state.clock())) > 0.0:
-        if rest_s > LONGEST_LEASE_S:
+        if rest_s > MAX_HOLD_S:
             return False
         await asyncio.sleep(rest_s)
     return True
--- a/src/croftchute/systems/predicted_end.py
+++ b/src/croftchute/systems/predicted_end.py
@@ -132,7 +132,9 @@
     peer_in_flight = other_boxes_load(tracked, context, now)
     load = (tracked.in_flight + peer_in_flight) / max(1, tracked.worker.slots)
     if context.kv_tokens > 0:
-        load += (tracked.tokens_in_flight + peer_in_flight * TYPICAL_DECODE_TOKENS) / context.kv_tokens
+        load += (
+            tracked.tokens_in_flight + peer_in_flight * TYPICAL_DECODE_TOKENS
+        ) / context.kv_tokens
     is_gap_too_long = 0.0 < target_gap_s < usual.token_gap_s * pace.factor
     return PredictedEnd(
         wait_s=load * stream_s * pace.factor,
--- a/src/croftchute/systems/size_lanes.py
+++ b/src/croftchute/systems/size_lanes.py
@@ -95,7 +95,9 @@
     size = int(share * len(candidates) + 0.5)
     if not 0 < size < len(candidates):
         return list(candidates)
-    ranked = sorted(candidates, key=lambda tracked: rendezvous_weight(LANE_HASH_KEY, tracked.worker.id))
+    ranked = sorted(
+        candidates, key=lambda tracked: rendezvous_weight(LANE_HASH_KEY, tracked.worker.id)
+    )
     lane, rest = ranked[:size], ranked[size:]
     if not is_large_request:
         return rest
--- a/src/croftchute/systems/stage_headroom.py
+++ b/src/croftchute/systems/stage_headroom.py
@@ -257,7 +257,10 @@
 
 
 def _engines(
-    tracked_workers: Sequence[TrackedWorker], pending_stages: dict[str, Stage], paces: PaceView, now: float
+    tracked_workers: Sequence[TrackedWorker],
+    pending_stages: dict[str, Stage],
+    paces: PaceView,
+    now: float,
 ) -> list[_Engine]:
     """The listed engines of both stages; ordered changes count as carried out."""
     engines = []
--- a/tests/forwarding/workers/test_order_gauges.py
+++ b/tests/forwarding/workers/test_queue_gauges.py
@@ -1,4 +1,4 @@
-"""Gauges of waiting requests, mean waits and paces: bounded, and without what no longer holds."""
+"""Gauges of waiting requests, mean waits and paces: bounded, and without outdated series."""
 
 from platform_fleet import bearer, config, fleet, organisation, run, until
 from rank_fleet import (
@@ -10,13 +10,13 @@
     waiting,
 )
 
-from croftchute.forwarding.workers import order_gauges
-from croftchute.forwarding.workers.order_gauges import update_order_gauges
+from croftchute.forwarding.workers import queue_gauges
+from croftchute.forwarding.workers.queue_gauges import update_queue_gauges
 
 
-def swept(box):
-    """The box's metrics after a sweep."""
-    update_order_gauges(box.state, box.state.clock())
+def swept_metrics(box):
+    """Update the gauges; return the box's metrics."""
+    update_queue_gauges(box.state, box.state.clock())
     return box.state.metrics
 
 
@@ -24,47 +24,51 @@
     return {labels["room_rank"]: value for labels, value in gauge.get_all()}
 
 
-def test_waiting_requests_show_by_rank_until_they_are_served():
-    """Guards against a gauge that keeps its last value, or misses ranks of which none waits."""
+def test_waiting_requests_are_shown_by_rank_until_served():
+    """Guards against a gauge that keeps its last value, or lacks ranks without waiting requests."""
 
     async def body():
         async with fleet(config=ordered_config()) as made:
             (box,), engine = await boxes_before_a_full_engine(made)
-            assert swept(box).room_waiting.get_all() == []
+            assert swept_metrics(box).room_waiting.get_all() == []
             asking = begin(box, "/calm/x", "calm")
             await is_waiting(box, r1=1)
-            metrics = swept(box)
+            metrics = swept_metrics(box)
             assert by_rank(metrics.room_waiting) == {"0": 0, "2": 1}
             assert by_rank(metrics.room_wait).keys() == {"0", "2"}
             assert b'croftchute_room_waiting{room_rank="2",service="llm"} 1' in metrics.text()
             await ran_in_all(engine, 1)
             assert (await asking).status == 200
-            assert by_rank(swept(box).room_waiting) == {"0": 0, "2": 0}
+            assert by_rank(swept_metrics(box).room_waiting) == {"0": 0, "2": 0}
 
     run(body)
 
 
-def test_the_series_of_a_service_end_with_its_order():
-    """Guards against ranks of a configuration that is no longer in force."""
+def test_series_of_a_service_end_when_it_is_no_longer_ordered():
+    """Guards against series of ranks from a replaced configuration."""
 
     async def body():
         async with fleet(config=ordered_config()) as made:
             (box,), engine = await boxes_before_a_full_engine(made)
             asking = begin(box, "/calm/x", "calm")
             await is_waiting(box, r1=1)
-            assert swept(box).room_wait.get_all()
+            assert swept_metrics(box).room_wait.get_all()
             made.store.put("op/config", config(8))
             await until(lambda: box.state.table.version == 8)
-            assert swept(box).room_wait.get_all() == swept(box).room_waiting.get_all() == []
+            assert (
+                swept_metrics(box).room_wait.get_all()
+                == swept_metrics(box).room_waiting.get_all()
+                == []
+            )
             await ran_in_all(engine, 1)
             assert (await asking).status == 200
 
     run(body)
 
 
-def test_paces_show_for_a_bounded_number_of_listed_workers(monkeypatch):
-    """Guards against series without bound, and against those of workers that are gone."""
-    monkeypatch.setattr(order_gauges, "MOST_PACES", 2)
+def test_paces_are_shown_for_a_bounded_number_of_listed_workers(monkeypatch):
+    """Guards against unbounded series, and against series of removed workers."""
+    monkeypatch.setattr(queue_gauges, "MAX_WORKER_PACES", 2)
 
     async def body():
         async with fleet() as made:
@@ -72,21 +76,21 @@
                 await made.add_worker(name)
             box = await made.add_box()
             await made.ready(box)
-            assert swept(box).worker_pace.get_all() == []
+            assert swept_metrics(box).worker_pace.get_all() == []
             for name in ("gone", "w2", "w3", "w4"):
                 box.state.paces.note_reported(name, 2.0, box.state.clock())
-            shown = swept(box).worker_pace.get_all()
+            shown = swept_metrics(box).worker_pace.get_all()
             assert [labels["worker"] for labels, _ in shown] == ["w2", "w3"]
             assert all(1.5 < value <= 2.0 for _, value in shown)
             box.state.paces.forget("w2")
-            shown = swept(box).worker_pace.get_all()
+            shown = swept_metrics(box).worker_pace.get_all()
             assert [labels["worker"] for labels, _ in shown] == ["w3", "w4"]
 
     run(body)
 
 
-def test_the_daemon_sets_the_gauges_by_itself():
-    """Guards against gauges that no sweep updates."""
+def test_daemon_updates_the_gauges_periodically():
+    """Guards against gauges that the daemon never updates."""
 
     async def body():
         async with fleet() as made:
@@ -99,8 +103,8 @@
     run(body)
 
 
-def test_a_request_over_its_organisation_s_share_is_counted_once_and_without_a_name():
-    """Guards against a count for each look at the room, and against a series for each caller."""
+def test_request_over_its_share_is_counted_once_without_its_organisation():
+    """Guards against a count for each ask for room, and against a series for each organisation."""
     flood = organisation("flood", "flood-key", RatePerS=1e6, Burst=1e9, PlainTokens=10)
 
     async def body():
--- a/tests/forwarding/workers/test_stage_orders.py
+++ b/tests/forwarding/workers/test_stage_coordinator.py
@@ -1,4 +1,4 @@
-"""Orders: given under a lease that is surely held, and not doubled when one gets no answer."""
+"""Stage orders: sent only while the lease is held, and not repeated while one is pending."""
 
 import asyncio
 from dataclasses import replace
@@ -6,100 +6,104 @@
 from platform_fleet import fleet, run
 
 from croftchute.forwarding.http.failures import AnswerLateError
-from croftchute.forwarding.workers import stage_orders
-from croftchute.forwarding.workers.stage_orders import LEASE_KEY, Turn
+from croftchute.forwarding.workers import stage_coordinator
+from croftchute.forwarding.workers.stage_coordinator import LEASE_KEY, HeldLease
 from croftchute.router_settings import DecisionWays
 from croftchute.systems.service_capacity import EngineCapacity, SplitMode
 from croftchute.systems.stage_balance import StageChange, plan_stage_changes
 from croftchute.tables.routing import Stage
 
 
-async def order_once(made, monkeypatch, *, answer=202, has_lost_lease=False):
-    """A box that holds the lease and wants one change, and the workers it sent an order to."""
+async def send_one_order(made, monkeypatch, *, answer=202, has_lost_lease=False):
+    """Send one order from a box; return its coordinator and the ids of the ordered workers.
+
+    ``answer`` is the status or the error of the order. With ``has_lost_lease`` the lease belongs to
+    another holder before the order is sent.
+    """
     box = await made.add_box()
     await made.add_worker("p0", service="llm", stage="prefill")
     await made.ready(box)
     token = made.store.put(LEASE_KEY, {})
     sent = []
 
-    async def give(state, worker, stage, *, holder, token):
+    async def fake_send(state, worker, stage, *, holder, token):
         sent.append(worker.id)
         if isinstance(answer, Exception):
             raise answer
         return answer
 
-    monkeypatch.setattr(stage_orders, "give_stage_order", give)
+    monkeypatch.setattr(stage_coordinator, "send_stage_order", fake_send)
     if has_lost_lease:
         made.store.put(LEASE_KEY, {"holder": "another"})
     worker = box.state.workers.tracked_by_id["p0"].worker
     change = StageChange(worker=worker, stage=Stage.DECODE, reason="test")
     now = box.state.clock()
     orders = box.orders
-    orders.turn = Turn(token=token, lease=1, since=now - 60.0)
+    orders.held_lease = HeldLease(token=token, lease_id=1, acquired_at=now - 60.0)
     orders._renew_at = now + 60.0
     orders._next_try_at = now
-    await asyncio.wait_for(orders._use_turn(orders.turn, [change]), 30)
+    await asyncio.wait_for(orders._use_lease(orders.held_lease, [change]), 30)
     return orders, sent
 
 
-def test_an_order_that_is_not_answered_is_given_time_to_be_carried_out(monkeypatch):
-    """It used to be followed by another order 3 s later, while it could still be carried out."""
+def test_unanswered_order_stays_pending(monkeypatch):
+    """Guards against a second order 3 s later, while the first could still be carried out."""
 
     async def body():
         async with fleet() as made:
             late = AnswerLateError("no head")
-            orders, sent = await order_once(made, monkeypatch, answer=late)
+            orders, sent = await send_one_order(made, monkeypatch, answer=late)
             assert sent == ["p0"]
-            assert orders._ordered() == {"p0": Stage.DECODE}
+            assert orders._pending_stages() == {"p0": Stage.DECODE}
 
     run(body)
 
 
-def test_no_order_is_given_once_the_lease_is_lost(monkeypatch):
+def test_no_order_is_sent_after_the_lease_is_lost(monkeypatch):
     async def body():
         async with fleet() as made:
-            orders, sent = await order_once(made, monkeypatch, has_lost_lease=True)
-            assert sent == [] and orders.turn is None
+            orders, sent = await send_one_order(made, monkeypatch, has_lost_lease=True)
+            assert sent == [] and orders.held_lease is None
 
     run(body)
 
 
-def test_an_order_that_the_worker_refused_is_not_waited_for(monkeypatch):
+def test_refused_order_is_not_pending(monkeypatch):
     async def body():
         async with fleet() as made:
-            orders, sent = await order_once(made, monkeypatch, answer=409)
-            assert sent == ["p0"] and orders._ordered() == {}
+            orders, sent = await send_one_order(made, monkeypatch, answer=409)
+            assert sent == ["p0"] and orders._pending_stages() == {}
 
     run(body)
 
 
-def test_an_order_is_over_once_the_list_shows_it(monkeypatch):
+def test_order_is_done_when_the_worker_list_shows_it(monkeypatch):
     async def body():
         async with fleet() as made:
-            orders, _ = await order_once(made, monkeypatch)
-            assert orders._ordered() == {"p0": Stage.DECODE}
+            orders, _ = await send_one_order(made, monkeypatch)
+            assert orders._pending_stages() == {"p0": Stage.DECODE}
             tracked = orders.state.workers.tracked_by_id["p0"]
             tracked.worker = replace(tracked.worker, stage=Stage.DECODE)
-            assert orders._ordered() == {}
+            assert orders._pending_stages() == {}
 
     run(body)
 
 
-def test_a_worker_that_took_an_order_gets_no_work_and_one_that_gave_no_answer_does(monkeypatch):
-    """An order without an answer may be carried out much later, or never."""
+def test_only_a_worker_that_accepted_its_order_gets_no_work(monkeypatch):
+    """An unanswered order may be carried out much later or never, so its worker still gets work."""
 
     async def body():
         for answer, is_passed_over in ((202, True), (AnswerLateError("no head"), False)):
             async with fleet() as made:
-                orders, _ = await order_once(made, monkeypatch, answer=answer)
+                orders, _ = await send_one_order(made, monkeypatch, answer=answer)
                 tracked = orders.state.workers.tracked_by_id["p0"]
                 assert (tracked.changing_until > orders.state.clock()) is is_passed_over
 
     run(body)
 
 
-def test_workers_that_leave_or_rest_get_no_order(monkeypatch):
-    monkeypatch.setattr(stage_orders, "LASTS_S", 0.0)
+def test_leaving_and_resting_workers_get_no_order(monkeypatch):
+    monkeypatch.setattr(stage_coordinator, "MIN_NEED_S", 0.0)
 
     async def body():
         async with fleet() as made:
@@ -110,17 +114,18 @@
             advice = box.state.workers.advice
             advice.note_leaving("p0", box.state.clock())
             advice.note_backoff("p1", 60.0, box.state.clock())
-            # No decode worker is listed, so one is wanted at once.
-            box.orders.wanted()
-            assert [change.worker.id for change in box.orders.wanted()] == ["p2"]
+            # No decode worker is listed, so a change to decode is needed. The first call records
+            # the need.
+            box.orders.find_changes()
+            assert [change.worker.id for change in box.orders.find_changes()] == ["p2"]
 
     run(body)
 
 
-async def add_demand(made, monkeypatch, split):
-    """A box with 3 prefill workers and 1 decode worker, and long answers asked for."""
-    monkeypatch.setattr(stage_orders, "LASTS_S", 0.0)
-    monkeypatch.setattr(stage_orders, "PREFILL_LASTS_S", 0.0)
+async def box_with_demand(made, monkeypatch, split):
+    """Return a box with 3 prefill workers, 1 decode worker and a demand for long answers."""
+    monkeypatch.setattr(stage_coordinator, "MIN_NEED_S", 0.0)
+    monkeypatch.setattr(stage_coordinator, "MIN_PREFILL_NEED_S", 0.0)
     box = await made.add_box()
     for name in ("p0", "p1", "p2"):
         await made.add_worker(name, service="llm", stage="prefill")
@@ -135,17 +140,17 @@
     return box
 
 
-def test_services_that_tell_no_pace_are_split_as_before(monkeypatch):
-    """Off by default: without a reported pace the model of before decides, with its inputs."""
+def test_services_without_reported_pace_use_the_fixed_split(monkeypatch):
+    """Without a reported pace the default, ``auto``, decides as ``fixed_use`` does."""
 
     async def body():
         async with fleet() as made:
-            box = await add_demand(made, monkeypatch, SplitMode.AUTO)
+            box = await box_with_demand(made, monkeypatch, SplitMode.AUTO)
             assert DecisionWays().split is SplitMode.AUTO
             state, orders = box.state, box.orders
-            found = orders.wanted()
+            found = orders.find_changes()
             state.ways = DecisionWays(split=SplitMode.FIXED_USE)
-            assert found and orders.wanted() == found
+            assert found and orders.find_changes() == found
             engine = state.table.services_by_name["llm"].engine
             capacity = EngineCapacity(
                 prefill_tokens_per_s=state.prefill_pace("llm").tokens_per_s,
@@ -154,30 +159,29 @@
             )
             tracked_workers = state.workers.of_service("llm")
             assert found == plan_stage_changes(
-                
                 tracked_workers, state.fleet_demand("llm"), capacity, pending_stages={}
             )
 
     run(body)
 
 
-def test_services_that_tell_their_pace_are_split_by_headroom(monkeypatch):
-    """The same demand leaves both stages within their aims: nothing is ordered."""
+def test_services_with_reported_pace_are_split_by_headroom(monkeypatch):
+    """By headroom the same demand keeps both stages within their aims, so nothing is ordered."""
 
     async def body():
         for split in (SplitMode.AUTO, SplitMode.HEADROOM):
             async with fleet() as made:
-                box = await add_demand(made, monkeypatch, split)
+                box = await box_with_demand(made, monkeypatch, split)
                 box.state.paces.note_reported("d0", 1.0, box.state.clock())
                 box.state._tells_pace_by_service.clear()
                 assert box.orders.split_way("llm") is SplitMode.HEADROOM
-                assert box.orders.wanted() == []
+                assert box.orders.find_changes() == []
 
     run(body)
 
 
-def test_orders_by_headroom_wait_until_crashed_workers_are_back(monkeypatch):
-    """An order to decode after 0.4 s, for workers that crashed, cannot be undone for 20 s."""
+def test_headroom_orders_wait_for_crashed_workers_to_return(monkeypatch):
+    """An order sent after 0.4 s, because workers crashed, could not be undone for 20 s."""
 
     async def body():
         async with fleet() as made:
@@ -190,7 +194,7 @@
             found = []
             for split in (SplitMode.FIXED_USE, SplitMode.HEADROOM):
                 box.state.ways = DecisionWays(split=split)
-                found.append([box.orders._lasts_s(each) for each in (change, urgent)])
+                found.append([box.orders._min_need_s(each) for each in (change, urgent)])
             assert found == [[0.4, 0.4], [5.0, 0.4]]
 
     run(body)
--- a/tests/platform_adapter/test_load_probe.py
+++ b/tests/platform_adapter/test_load_probe.py
@@ -10,7 +10,7 @@
 
 from croftchute.forwarding.decision_log import Decision
 from croftchute.forwarding.workers.load_probe import PROBE_TIMEOUT_S, probe_loads
-from croftchute.forwarding.workers.prompt_reader import PromptReader
+from croftchute.forwarding.workers.prompt_prefill import PromptPrefill
 from croftchute.forwarding.workers.request_run import RequestRun
 from croftchute.systems.predicted_end import PlacementMode
 from croftchute.systems.worker_choice import choose
@@ -240,11 +240,11 @@
             asked = []
 
             class NoneLeft:
-                async def take(self, worker, wish):
+                async def acquire(self, worker, permit_request):
                     asked.append(worker.id)
                     return worker.id != limited.id
 
-                def give_back(self, worker, calls=1):
+                def release(self, worker, calls=1):
                     raise AssertionError("nothing was taken")
 
             box.state.permits = NoneLeft()
@@ -371,7 +371,7 @@
                 request.avoid = {f"w{seed % 4}"}
                 state.rng = random.Random(seed)
                 if stage is Stage.PREFILL:
-                    found = await PromptReader(run=request)._choose(decode, may_probe=True)
+                    found = await PromptPrefill(run=request)._choose(decode, may_probe=True)
                 else:
                     found = request.choose(stage)
                 expected_rng = random.Random(seed)
--- a/tests/systems/room_harness.py
+++ b/tests/systems/room_harness.py
@@ -11,7 +11,7 @@
 from croftchute.daemon.router_state import make_state
 from croftchute.errors import Code, Ran
 from croftchute.forwarding.http.exchange import Arrival, Exchange, IncomingRequest
-from croftchute.forwarding.workers.decode_room import DecodeRoom
+from croftchute.forwarding.workers.decode_reservation import DecodeReservation
 from croftchute.forwarding.workers.request_run import RequestRun
 from croftchute.router_settings import DecisionWays, RouterSettings
 from croftchute.systems.room_order import OrderMode
@@ -189,7 +189,7 @@
         return run.connection.sent
 
 
-class ScriptedRoom(DecodeRoom):
+class ScriptedRoom(DecodeReservation):
     """DecodeRoom that polls no worker: a script gives the result of each poll."""
 
     asks = 0
@@ -204,6 +204,6 @@
         if outcome == GRANTED:
             return object(), object()
         if outcome == FULL:
-            self.run.full.add("w")
+            self.run.full_workers.add("w")
             self.code, self.detail = Code.NO_CAPACITY, "no room at w and others"
         return None
--- a/tests/systems/test_ranked_room_wait.py
+++ b/tests/systems/test_ranked_room_wait.py
@@ -7,7 +7,7 @@
 
 from croftchute.errors import Code
 from croftchute.forwarding.decision_log import Decision
-from croftchute.forwarding.workers.room_report import order_facts
+from croftchute.forwarding.workers.queue_reporting import queue_log_fields
 from croftchute.systems.room_forecast import PRIOR_WAIT_S, RoomCounts
 from croftchute.systems.room_order import (
     FINAL_POLL_LEAD_S,
@@ -126,7 +126,7 @@
     seen = []
     harness.on_sleep = lambda: seen.append(harness.state.ranked_room("llm").waiting_by_rank())
     run = harness.request(0, prompt=SHORT_PROMPT_TOKENS)
-    run.before_s = 0.7
+    run.earlier_tries_s = 0.7
     harness.reserve(run, [FULL] * 15 + [GRANTED])
     assert all(sum(waiting.values()) == 1 for waiting in seen)
     assert {0: 1} in seen and {6: 1} in seen
@@ -144,7 +144,7 @@
     add_urgent_wait(harness, waited_s=5.0)
     run = harness.request(2)
     room, found = harness.reserve(run, [FULL])
-    assert found is None and room.asks == 1 and run.held_back
+    assert found is None and room.asks == 1 and run.is_held_back
     assert room.code is Code.NO_CAPACITY
     # Four mean waits are 10.6 s. The limit is 0.32 of the remaining 14 s, less up to 10% of jitter.
     assert 4.0 <= retry_after(harness.refuse(run, room)) <= 4.48
@@ -162,7 +162,7 @@
     run = harness.request(1, prompt=SHORT_PROMPT_TOKENS)
     _, found = harness.reserve(run, [GRANTED])
     assert found is not None and harness.sleeps
-    assert not run.held_back
+    assert not run.is_held_back
 
 
 def test_a_request_that_held_back_and_then_finds_no_worker_reports_that(monkeypatch):
@@ -186,7 +186,7 @@
     room = ScriptedRoom(run=run)
     room.has_worker = False
     _, found = harness.reserve(run, [NO_WORKER], room=room)
-    assert found is None and harness.sleeps == [] and not run.held_back
+    assert found is None and harness.sleeps == [] and not run.is_held_back
     assert room.code is None
 
 
@@ -204,7 +204,7 @@
     run = harness.request(2, prompt=SHORT_PROMPT_TOKENS)
     room, found = harness.reserve(run, [GRANTED])
     assert found is not None and room.asks == 1
-    assert 0.0 < run.in_time_left_s <= FINAL_POLL_LEAD_S
+    assert 0.0 < run.target_left_s <= FINAL_POLL_LEAD_S
 
 
 def test_a_request_that_holds_back_polls_once_even_if_urgent_waits_are_long(monkeypatch):
@@ -232,7 +232,7 @@
     run = harness.request(priority, prompt=SHORT_PROMPT_TOKENS)
     harness.reserve(run, [FULL] * 60 + [GRANTED])
     assert harness.sleeps and min(harness.sleeps) >= MIN_POLL_INTERVAL_S
-    assert run.in_time_left_s < 0.0
+    assert run.target_left_s < 0.0
 
 
 # Configuration changes.
@@ -327,4 +327,4 @@
     uses = [OrganisationUseNotice(name="o", asked_tokens=9e6, granted_tokens=5e6)]
     harness.state.peers.uses = lambda *_: uses
     run = harness.request(2, organisation="o")
-    assert order_facts(run) == {} and run.rank == 2
+    assert queue_log_fields(run) == {} and run.rank == 2
--- a/tests/systems/test_size_lanes.py
+++ b/tests/systems/test_size_lanes.py
@@ -135,6 +135,8 @@
     tracked_workers = engines(number)
     for large in (True, False):
         assert (
-            len(lane_candidates(tracked_workers, is_large_request=large, share=0.2, rejected_ids=()))
+            len(
+                lane_candidates(tracked_workers, is_large_request=large, share=0.2, rejected_ids=())
+            )
             == number
         )
--- a/tests/systems/test_unordered_room.py
+++ b/tests/systems/test_unordered_room.py
@@ -9,7 +9,7 @@
 
 from croftchute.errors import Code, Ran
 from croftchute.forwarding.decision_log import Decision
-from croftchute.forwarding.workers.room_report import order_facts
+from croftchute.forwarding.workers.queue_reporting import queue_log_fields
 from croftchute.systems import timeouts
 from croftchute.systems.room_forecast import RoomWait
 from croftchute.systems.room_order import OrderMode
@@ -34,7 +34,10 @@
         self.detail = ""
         is_begun = run.exchange.is_started
         pause_s = timeouts.room_poll_interval_s(
-            run.route, run.state.ways.returns, since_first_try_s=run.before_s, is_begun=is_begun
+            run.route,
+            run.state.ways.returns,
+            since_first_try_s=run.earlier_tries_s,
+            is_begun=is_begun,
         )
         asked_at = run.now
         has_waited = False
@@ -46,13 +49,13 @@
                 if has_waited:
                     run.state.room(run.service).note_granted(run.now)
                 return found
-            may_come = run.full or (is_begun and self._rests_end_soon())
+            may_come = run.full_workers or (is_begun and self._does_rest_end_soon())
             if not may_come or not self._may_wait(asked_at, is_begun=is_begun):
                 return None
             await asyncio.sleep(pause_s)
             has_waited = True
             run.state.room(run.service).note_waited(pause_s, run.now)
-            run.full.clear()
+            run.full_workers.clear()
 
     def _may_wait(self, asked_at, *, is_begun):
         run = self.run
@@ -67,7 +70,7 @@
             time_left_s=run.time_left_s,
             reading_s=timing.prefill_s(run.facts.prompt_tokens),
             since_first_try_s=(
-                run.before_s if run.state.ways.returns is ReturnMode.IN_TIME_FIRST else 0.0
+                run.earlier_tries_s if run.state.ways.returns is ReturnMode.IN_TIME_FIRST else 0.0
             ),
         )
         if wait.is_worthwhile(run.route, mean_wait_s=mean_wait_s):
@@ -85,7 +88,7 @@
 def reference_refusal(run, room):
     """Return the code and Retry-After of a refusal from before there was an order."""
     code = room.code or Code.NO_UPSTREAM
-    mean_wait_s = run.state.mean_room_wait_s(run.service) if run.full else None
+    mean_wait_s = run.state.mean_room_wait_s(run.service) if run.full_workers else None
     retry_after_s = timeouts.retry_after(
         run.time_left_s, mean_wait_s=mean_wait_s, jitter=run.state.rng.random()
     )
@@ -152,10 +155,10 @@
     harness = RoomHarness(monkeypatch, organisations=[organisation("o", rate_per_s=5.0)], **options)
     run = harness.request(2, organisation="o")
     room, found = harness.reserve(run, [FULL, FULL, GRANTED])
-    assert found is not None and not run.held_back
+    assert found is not None and not run.is_held_back
     state = harness.state
     assert state.ranked_room_by_service == {} and state.use_by_service == {}
-    assert order_facts(run) == {}
+    assert queue_log_fields(run) == {}
 
 
 @each_unordered_mode
