--- a/src/croftchute/policies/runner.py
+++ b/src/croftchute/policies/runner.py
@@ -37,7 +37,7 @@
         self._suspended_until.clear()
 
     def order_placements(
-        self, policy: str, ask: Reserve, placements: Sequence[Placement]
+        self, policy: str, request: Reserve, placements: Sequence[Placement]
     ) -> PolicyOrder:
         """Return the placements in the policy's order, or unchanged if the policy fails."""
         compiled = self._compiled_by_name.get(policy)
@@ -46,7 +46,7 @@
             return PolicyOrder(placements=placements, failure=f"{policy}: suspended")
         by_id = {_candidate_id(placement): placement for placement in placements}
         try:
-            ids = compiled.order(_request(ask), [_candidate(p, placements) for p in placements])
+            ids = compiled.order(_request(request), [_candidate(p, placements) for p in placements])
         except PolicyError as error:
             return self._record_failure(policy, placements, error.message)
         if self.clock() - started > MAX_RUN_S:
@@ -82,12 +82,12 @@
     }
 
 
-def _request(ask: Reserve) -> dict[str, str | int | float]:
+def _request(request: Reserve) -> dict[str, str | int | float]:
     return {
-        "caller": ask.caller,
-        "model": ask.model,
-        "priority": ask.priority,
-        "prompt_tokens": ask.prompt_tokens,
-        "max_tokens": ask.max_tokens,
-        "waited_s": ask.waited_s,
+        "caller": request.caller,
+        "model": request.model,
+        "priority": request.priority,
+        "prompt_tokens": request.prompt_tokens,
+        "max_tokens": request.max_tokens,
+        "waited_s": request.waited_s,
     }
--- a/src/croftchute/systems/box.py
+++ b/src/croftchute/systems/box.py
@@ -236,20 +236,20 @@
                 out.append(command)
         return out
 
-    def _heartbeat_received(self, sender: str, beat: Heartbeat, now: float) -> list[Command]:
-        events, restarted = self.membership.heartbeat_received(sender, beat, now)
+    def _heartbeat_received(self, sender: str, heartbeat: Heartbeat, now: float) -> list[Command]:
+        events, restarted = self.membership.heartbeat_received(sender, heartbeat, now)
         commands: list[Command] = [EmitEvent(event=event) for event in events]
         if restarted:
             commands += self.owner.entry_box_gone(sender, now)
-            commands += self.dedupe.box_restarted(sender, beat.incarnation)
+            commands += self.dedupe.box_restarted(sender, heartbeat.incarnation)
         known = self.membership.boxes_by_id.get(sender)
         if known is not None and known.hall == self.own.hall:
-            for digest in beat.digests:
+            for digest in heartbeat.digests:
                 self.chooser.update_digest(replace(digest, at=now))
         if events:
             commands += self._reassign_if_changed(now)
-        newer_config = beat.revision > self.topology.revision
-        newer_map = beat.map_version > self.dedupe.map.version
+        newer_config = heartbeat.revision > self.topology.revision
+        newer_map = heartbeat.map_version > self.dedupe.map.version
         if (newer_config or newer_map) and now >= self._next_fetch_at:
             self._next_fetch_at = now + FETCH_INTERVAL_S
             commands.append(FetchSharedState(box=sender))
--- a/src/croftchute/systems/membership.py
+++ b/src/croftchute/systems/membership.py
@@ -35,7 +35,7 @@
                 self.boxes_by_id.setdefault(box.id, not_yet_heard)
 
     def heartbeat_received(
-        self, sender: str, beat: Heartbeat, now: float
+        self, sender: str, heartbeat: Heartbeat, now: float
     ) -> tuple[list[Event], bool]:
         """Apply a heartbeat; return the events and whether the sender was restarted.
 
@@ -43,19 +43,19 @@
         box that is not known yet.
         """
         known = self.boxes_by_id.get(sender)
-        if known is not None and beat.incarnation < known.incarnation:
+        if known is not None and heartbeat.incarnation < known.incarnation:
             return [], False
-        restarted = known is not None and 0 < known.incarnation < beat.incarnation
-        state = BoxState.LEAVING if beat.leaving else BoxState.LIVE
-        base = _box_from_heartbeat(sender, beat) or known
+        restarted = known is not None and 0 < known.incarnation < heartbeat.incarnation
+        state = BoxState.LEAVING if heartbeat.leaving else BoxState.LIVE
+        base = _box_from_heartbeat(sender, heartbeat) or known
         if base is None:
             return [], False
         self.boxes_by_id[sender] = replace(
             base,
-            incarnation=beat.incarnation,
+            incarnation=heartbeat.incarnation,
             state=state,
             heard_at=now,
-            revision=beat.revision,
+            revision=heartbeat.revision,
         )
         if known is not None and known.state is state and not restarted:
             return [], False
@@ -108,14 +108,14 @@
         return sorted(own + others)
 
 
-def _box_from_heartbeat(sender: str, beat: Heartbeat) -> Box | None:
+def _box_from_heartbeat(sender: str, heartbeat: Heartbeat) -> Box | None:
     """Return the box that a heartbeat describes; None if it leaves the address out."""
-    if not beat.address:
+    if not heartbeat.address:
         return None
     return Box(
         id=sender,
-        hall=beat.hall,
-        address=beat.address,
-        peer_port=beat.peer_port,
-        admin_port=beat.admin_port,
+        hall=heartbeat.hall,
+        address=heartbeat.address,
+        peer_port=heartbeat.peer_port,
+        admin_port=heartbeat.admin_port,
     )
--- a/src/croftchute/systems/owner.py
+++ b/src/croftchute/systems/owner.py
@@ -107,22 +107,26 @@
         return list(self.ledger.loads_by_engine)
 
     def reserve(
-        self, sender: str, ask: Reserve, now: float, order_placements: PolicyOrderer | None = None
+        self,
+        sender: str,
+        request: Reserve,
+        now: float,
+        order_placements: PolicyOrderer | None = None,
     ) -> list[Command]:
         """Grant or decline a reservation.
 
         The request is idempotent: a repeated one gets the same grant again.
         """
-        held = self.ledger.reservations_by_key.get(f"{ask.request_id}-{ask.attempt}")
+        held = self.ledger.reservations_by_key.get(f"{request.request_id}-{request.attempt}")
         if held is not None:
             return [SendPeer(box=sender, body=build_granted(held))]
-        if ask.shard not in self.taken_at_by_shard:
-            return [self._decline(sender, ask, Code.NOT_OWNER, 0.0)]
-        model = self.topology.models_by_id.get(ask.model)
+        if request.shard not in self.taken_at_by_shard:
+            return [self._decline(sender, request, Code.NOT_OWNER, 0.0)]
+        model = self.topology.models_by_id.get(request.model)
         if model is None:
-            return [self._decline(sender, ask, Code.MODEL_UNKNOWN, 0.0)]
-        needs = self._placement_needs(ask)
-        engines = self._engines_by_shard[ask.shard]
+            return [self._decline(sender, request, Code.MODEL_UNKNOWN, 0.0)]
+        needs = self._placement_needs(request)
+        engines = self._engines_by_shard[request.shard]
         found = shortlist_placements(
             engines,
             self.ledger.loads_by_engine,
@@ -130,24 +134,26 @@
             now=now,
             waste_aversion=self.topology.waste_aversion,
         )
-        pressure = self.pressure_by_shard[ask.shard]
+        pressure = self.pressure_by_shard[request.shard]
         if not found:
             pressure.record(declined=True)
-            return [self._decline(sender, ask, Code.NO_CAPACITY, self._retry_after(ask, now))]
+            return [
+                self._decline(sender, request, Code.NO_CAPACITY, self._retry_after(request, now))
+            ]
         commands: list[Command] = []
         if order_placements is not None and model.policy is not None:
-            ordered = order_placements(model.policy, ask, found)
+            ordered = order_placements(model.policy, request, found)
             found = list(ordered.placements)
             if ordered.failure:
-                commands.append(EmitEvent(event=policy_failed_event(ask, ordered.failure)))
+                commands.append(EmitEvent(event=policy_failed_event(request, ordered.failure)))
         if not found:
-            return [self._decline(sender, ask, Code.POLICY_REFUSED, MIN_RETRY_AFTER_S)]
+            return [self._decline(sender, request, Code.POLICY_REFUSED, MIN_RETRY_AFTER_S)]
         placement = found[0]
-        refusal = self._refusal_code(ask, placement, now)
+        refusal = self._refusal_code(request, placement, now)
         if refusal is not None:
-            decline = self._decline(sender, ask, refusal, self._retry_after(ask, now))
+            decline = self._decline(sender, request, refusal, self._retry_after(request, now))
             return [*commands, decline]
-        return commands + self._grant(sender, ask, needs, placement, now)
+        return commands + self._grant(sender, request, needs, placement, now)
 
     def release(self, sender: str, body: Released, now: float) -> list[Command]:
         """Free an attempt's reservation; cancel it on its engines unless its end is confirmed."""
@@ -261,73 +267,73 @@
         engines = self._engines_by_shard[shard_id]
         return build_digest(shard_id, engines, self.ledger.loads_by_engine, now)
 
-    def _placement_needs(self, ask: Reserve) -> PlacementNeeds:
-        model = self.topology.models_by_id[ask.model]
-        forecast = self.forecasts_by_model.get(ask.model)
+    def _placement_needs(self, request: Reserve) -> PlacementNeeds:
+        model = self.topology.models_by_id[request.model]
+        forecast = self.forecasts_by_model.get(request.model)
         if forecast is None:
             forecast = initial_forecast(model.expected_output_tokens)
-            self.forecasts_by_model[ask.model] = forecast
-        mean, variance = forecast.capped_at(ask.max_tokens)
+            self.forecasts_by_model[request.model] = forecast
+        mean, variance = forecast.capped_at(request.max_tokens)
         cached = {
-            engine.id: self.prefix_index_by_engine[engine.id].cached_tokens(ask.prefix)
-            for engine in self._engines_by_shard[ask.shard]
-            if engine.prefills and ask.prefix
+            engine.id: self.prefix_index_by_engine[engine.id].cached_tokens(request.prefix)
+            for engine in self._engines_by_shard[request.shard]
+            if engine.prefills and request.prefix
         }
         return PlacementNeeds(
-            prompt_tokens=ask.prompt_tokens + ask.resume_from,
-            expected_output=max(1.0, mean - ask.resume_from),
+            prompt_tokens=request.prompt_tokens + request.resume_from,
+            expected_output=max(1.0, mean - request.resume_from),
             output_variance=variance,
             kv_bytes_per_token=model.kv_bytes_per_token,
             result_ttl_s=model.result_ttl_s,
             cached_by_engine=cached,
-            avoid=ask.avoid,
+            avoid=request.avoid,
         )
 
-    def _refusal_code(self, ask: Reserve, placement: Placement, now: float) -> Code | None:
+    def _refusal_code(self, request: Reserve, placement: Placement, now: float) -> Code | None:
         wait = placement.first_token_at - now
-        if wait > ask.time_left_s:
+        if wait > request.time_left_s:
             return Code.DEADLINE_PASSED
-        if ask.attempt > 1:
+        if request.attempt > 1:
             # The request was admitted before. Retries are limited by the retry budget instead.
             return None
-        pressure = self.pressure_by_shard[ask.shard]
+        pressure = self.pressure_by_shard[request.shard]
         service = placement.service_s
-        queued = ask.waited_s + wait - service
-        if queued > self._max_queue_s(ask, service, excess=0.0, pressure=0.0):
+        queued = request.waited_s + wait - service
+        if queued > self._max_queue_s(request, service, excess=0.0, pressure=0.0):
             pressure.record(declined=True)
             return Code.TARGET_UNREACHABLE
         pressure.record(declined=False)
-        excess = self.meters_by_shard[ask.shard].excess(ask.caller, now)
-        if queued <= self._max_queue_s(ask, service, excess=excess, pressure=pressure.level):
+        excess = self.meters_by_shard[request.shard].excess(request.caller, now)
+        if queued <= self._max_queue_s(request, service, excess=excess, pressure=pressure.level):
             return None
         return Code.OVER_SHARE
 
     def _max_queue_s(
-        self, ask: Reserve, service_s: float, *, excess: float, pressure: float
+        self, request: Reserve, service_s: float, *, excess: float, pressure: float
     ) -> float:
         return max_queue_s(
             ttft_s=self.topology.ttft_s,
             service_s=service_s,
-            priority=ask.priority,
+            priority=request.priority,
             excess=excess,
             pressure=pressure,
             waste_aversion=self.topology.waste_aversion,
         )
 
     def _grant(
-        self, sender: str, ask: Reserve, needs: PlacementNeeds, placement: Placement, now: float
+        self, sender: str, request: Reserve, needs: PlacementNeeds, placement: Placement, now: float
     ) -> list[Command]:
         kv_committed, kv_variance = kv_commitment(needs)
         reservation = Reservation(
-            request_id=ask.request_id,
-            attempt=ask.attempt,
+            request_id=request.request_id,
+            attempt=request.attempt,
             entry_box=sender,
-            shard=ask.shard,
-            caller=ask.caller,
-            priority=ask.priority,
+            shard=request.shard,
+            caller=request.caller,
+            priority=request.priority,
             prefill_id=placement.prefill_id,
             decode_id=placement.decode_id,
-            prompt_tokens=ask.prompt_tokens,
+            prompt_tokens=request.prompt_tokens,
             uncached_tokens=placement.uncached_tokens,
             expected_output=needs.expected_output,
             kv_committed=kv_committed,
@@ -336,41 +342,41 @@
             prefill_end_at=placement.prefill_end_at,
             transfer_end_at=placement.transfer_end_at,
             granted_at=now,
-            deadline_at=now + ask.time_left_s,
+            deadline_at=now + request.time_left_s,
             confirmed_at=now,
         )
         self.ledger.add(reservation, placement, now)
         weights = self.topology.weights_by_caller
-        weight = weights.get(ask.caller, weights.get(ANY_CALLER, 1.0))
+        weight = weights.get(request.caller, weights.get(ANY_CALLER, 1.0))
         cost = placement.uncached_tokens + needs.expected_output
-        self.meters_by_shard[ask.shard].charge(ask.caller, cost, weight=weight, now=now)
+        self.meters_by_shard[request.shard].charge(request.caller, cost, weight=weight, now=now)
         wait = placement.first_token_at - now
         event = Event(
             kind=Kind.RESERVE_GRANTED,
-            request_id=ask.request_id,
-            attempt=ask.attempt,
+            request_id=request.request_id,
+            attempt=request.attempt,
             upstream=placement.decode_id,
             detail=f"prefill {placement.prefill_id} predicted {wait:.3f}s",
         )
         return [EmitEvent(event=event), SendPeer(box=sender, body=build_granted(reservation))]
 
-    def _decline(self, sender: str, ask: Reserve, code: Code, retry_after_s: float) -> Command:
+    def _decline(self, sender: str, request: Reserve, code: Code, retry_after_s: float) -> Command:
         body = Declined(
-            request_id=ask.request_id,
-            attempt=ask.attempt,
-            shard=ask.shard,
+            request_id=request.request_id,
+            attempt=request.attempt,
+            shard=request.shard,
             code=code,
             retry_after_s=retry_after_s,
         )
         return SendPeer(box=sender, body=body)
 
-    def _retry_after(self, ask: Reserve, now: float) -> float:
+    def _retry_after(self, request: Reserve, now: float) -> float:
         backoff_s = self.ledger.backoff_left_s(
-            self.topology.shards_by_id[ask.shard].engine_ids, now
+            self.topology.shards_by_id[request.shard].engine_ids, now
         )
         if backoff_s > 0.0:
             return backoff_s
-        wait = self._digest(ask.shard, now).prefill_wait_s
+        wait = self._digest(request.shard, now).prefill_wait_s
         return max(MIN_RETRY_AFTER_S, min(wait, 10.0))
 
     def _update_forecasts(self, reservation: Reservation, tokens: int) -> None:
--- a/src/croftchute/systems/owner_messages.py
+++ b/src/croftchute/systems/owner_messages.py
@@ -8,12 +8,12 @@
 from croftchute.timeline.events import Event, Kind
 
 
-def policy_failed_event(ask: Reserve, failure: str) -> Event:
+def policy_failed_event(request: Reserve, failure: str) -> Event:
     """Build the event for a request that was placed without its policy, as that failed."""
     return Event(
         kind=Kind.POLICY_FAILED,
-        request_id=ask.request_id,
-        attempt=ask.attempt,
+        request_id=request.request_id,
+        attempt=request.attempt,
         detail=failure,
     )
 
--- a/tests/systems/test_box.py
+++ b/tests/systems/test_box.py
@@ -31,10 +31,12 @@
 
 
 def make_systems(name=OWNER, peers=()):
-    made = BoxSystems(own=make_box(name), heartbeat_s=1.0, suspect_after_s=3.0, poll_s=1.0, seed=1)
-    made.add_boxes([make_box(peer) for peer in peers])
-    made.apply_config(OBERBAYERN.document(shard_engines=8), 1, 0.0)
-    return made
+    systems = BoxSystems(
+        own=make_box(name), heartbeat_s=1.0, suspect_after_s=3.0, poll_s=1.0, seed=1
+    )
+    systems.add_boxes([make_box(peer) for peer in peers])
+    systems.apply_config(OBERBAYERN.document(shard_engines=8), 1, 0.0)
+    return systems
 
 
 def cancel_commands(commands):
@@ -43,38 +45,38 @@
 
 def test_a_box_without_a_first_heartbeat_is_not_suspected():
     """A box that had just started cancelled the attempts of all boxes not yet heard from."""
-    made = make_systems(peers=(OTHER, THIRD))
-    made.receive(OTHER, reserve_body("r"), 0.1)
-    commands = made.receive(THIRD, heartbeat(), 0.2) + made.tick(0.3)
+    systems = make_systems(peers=(OTHER, THIRD))
+    systems.receive(OTHER, reserve_body("r"), 0.1)
+    commands = systems.receive(THIRD, heartbeat(), 0.2) + systems.tick(0.3)
     assert not cancel_commands(commands)
-    assert list(made.owner.ledger.reservations_by_key) == ["r-1"]
+    assert list(systems.owner.ledger.reservations_by_key) == ["r-1"]
 
 
 def test_attempts_of_a_silent_box_are_cancelled():
-    made = make_systems()
-    made.receive(OTHER, heartbeat(), 0.1)
-    made.receive(OTHER, reserve_body("r"), 0.2)
-    assert cancel_commands(made.tick(5.0))
+    systems = make_systems()
+    systems.receive(OTHER, heartbeat(), 0.1)
+    systems.receive(OTHER, reserve_body("r"), 0.2)
+    assert cancel_commands(systems.tick(5.0))
 
 
 def test_earlier_attempts_of_a_restarted_box_are_cancelled():
-    made = make_systems(peers=(OTHER,))
-    made.receive(OTHER, reserve_body("r"), 0.1)
-    made.receive(OTHER, heartbeat(incarnation=5), 0.2)
-    commands = made.receive(OTHER, heartbeat(incarnation=6), 0.3)
+    systems = make_systems(peers=(OTHER,))
+    systems.receive(OTHER, reserve_body("r"), 0.1)
+    systems.receive(OTHER, heartbeat(incarnation=5), 0.2)
+    commands = systems.receive(OTHER, heartbeat(incarnation=6), 0.3)
     assert cancel_commands(commands)
 
 
 def test_a_heartbeat_of_an_older_incarnation_is_ignored():
-    made = make_systems()
-    made.receive(OTHER, heartbeat(incarnation=6), 0.1)
-    made.receive(OTHER, heartbeat(incarnation=5, leaving=True), 0.2)
-    assert made.membership.boxes_by_id[OTHER].state is BoxState.LIVE
+    systems = make_systems()
+    systems.receive(OTHER, heartbeat(incarnation=6), 0.1)
+    systems.receive(OTHER, heartbeat(incarnation=5, leaving=True), 0.2)
+    assert systems.membership.boxes_by_id[OTHER].state is BoxState.LIVE
 
 
 def test_an_older_configuration_is_ignored():
-    made = make_systems()
+    systems = make_systems()
     document = OBERBAYERN.document(shard_engines=8)
-    assert made.apply_config(document, 7, 1.0)
-    assert made.apply_config(document, 6, 1.1) == []
-    assert made.topology.revision == 7
+    assert systems.apply_config(document, 7, 1.0)
+    assert systems.apply_config(document, 6, 1.1) == []
+    assert systems.topology.revision == 7
--- a/tests/systems/test_membership.py
+++ b/tests/systems/test_membership.py
@@ -10,11 +10,11 @@
 def make_membership():
     own = Box(id="own", hall="a", address="127.0.0.1", peer_port=1, admin_port=2)
     membership = Membership(own=own, suspect_after_s=SUSPECT_AFTER_S)
-    beat(membership, 0.0)
+    receive_heartbeat(membership, 0.0)
     return membership
 
 
-def beat(membership, now, sender="other"):
+def receive_heartbeat(membership, now, sender="other"):
     heartbeat = Heartbeat(
         incarnation=1,
         revision=1,
@@ -47,7 +47,7 @@
     membership = make_membership()
     membership.suspect_silent(0.1)
     assert membership.suspect_silent(2.6) == []
-    beat(membership, 2.7)
+    receive_heartbeat(membership, 2.7)
     assert suspicions_until(membership, 2.7, 3.5) == []
 
 
--- a/tests/systems/test_owner.py
+++ b/tests/systems/test_owner.py
@@ -50,9 +50,9 @@
 
 def make_owner():
     topology = build_topology(OBERBAYERN.document(shard_engines=8), revision=1, hall=HALL)
-    made = ShardOwner(box="o", cancels=CancelTracker(), topology=topology)
-    made.set_shards(topology, topology.shards_by_id.values(), 0.0)
-    return made
+    owner = ShardOwner(box="o", cancels=CancelTracker(), topology=topology)
+    owner.set_shards(topology, topology.shards_by_id.values(), 0.0)
+    return owner
 
 
 def body_of(commands):
