--- a/src/croftchute/systems/owner.py
+++ b/src/croftchute/systems/owner.py
@@ -136,7 +136,7 @@
         )
         pressure = self.pressure_by_shard[request.shard]
         if not found:
-            pressure.record(declined=True)
+            pressure.count_request(declined=True)
             return [
                 self._decline(sender, request, Code.NO_CAPACITY, self._retry_after(request, now))
             ]
@@ -300,9 +300,9 @@
         service = placement.service_s
         queued = request.waited_s + wait - service
         if queued > self._max_queue_s(request, service, excess=0.0, pressure=0.0):
-            pressure.record(declined=True)
+            pressure.count_request(declined=True)
             return Code.TARGET_UNREACHABLE
-        pressure.record(declined=False)
+        pressure.count_request(declined=False)
         excess = self.meters_by_shard[request.shard].excess(request.caller, now)
         if queued <= self._max_queue_s(request, service, excess=excess, pressure=pressure.level):
             return None
--- a/src/croftchute/systems/pressure.py
+++ b/src/croftchute/systems/pressure.py
@@ -20,7 +20,7 @@
         """Return 0 without declines, rising to 1 when a tenth or more were declined."""
         return min(1.0, self.declined_share / FULL_PRESSURE_DECLINED_SHARE)
 
-    def record(self, *, declined: bool) -> None:
+    def count_request(self, *, declined: bool) -> None:
         """Count a reservation request.
 
         ``declined`` means that the shard lacked the capacity for a request of this size,
--- a/src/croftchute/tables/requests.py
+++ b/src/croftchute/tables/requests.py
@@ -57,7 +57,7 @@
         """Whether an answer that has begun can resume only on the shard that was asked last.
 
         Its caller would lose the part it has by asking elsewhere, so a silent owner is asked until
-        the deadline. A request that has not begun is refused soon, and its caller may retry.
+        the deadline. A request that has not begun is refused soon, and its caller told to retry.
         """
         return self.attempt > 1 and not self.candidates
 
