--- a/src/croftchute/forwarding/workers/__init__.py
+++ b/src/croftchute/forwarding/workers/__init__.py
@@ -1,1 +1,1 @@
-"""Calls of workers: requests, probes, worker signals and stage orders."""
+"""Calls of workers: requests, probes, worker advice and stage orders."""
--- a/src/croftchute/forwarding/workers/decode_reservation.py
+++ b/src/croftchute/forwarding/workers/decode_reservation.py
@@ -106,7 +106,7 @@
         return bool(run.state.workers.usable(run.service, run.now, stage=Stage.DECODE))
 
     def _does_rest_end_soon(self) -> bool:
-        """Whether a resting decode worker accepts work again within the wait of a begun stream."""
+        """Whether a decode worker's backoff ends within the wait of a begun stream."""
         return 0.0 < self.run.rest_left_s <= patience.RESUME_WAIT_S
 
     def _may_wait(self, asked_at: float, *, is_begun: bool) -> bool:
--- a/src/croftchute/forwarding/workers/request_run.py
+++ b/src/croftchute/forwarding/workers/request_run.py
@@ -167,7 +167,7 @@
 
     @property
     def rest_left_s(self) -> float:
-        """Seconds until a worker accepts work again, if all rest or are at a limit; else 0."""
+        """Seconds until a worker accepts work, if all are in backoff or at a limit; else 0."""
         stage = Stage.DECODE if self.engine is not None else None
         return self.state.workers.rest_left_s(self.service, self.now, stage=stage)
 
@@ -266,7 +266,7 @@
         )
         may_call = await state.permits.acquire(worker, permit_request)
         if may_call and wishes.told_by(worker.id, self.now) != told_before:
-            # The worker sent a new signal during the wait for the permit, so choose again.
+            # The worker sent new advice during the wait for the permit, so choose again.
             state.permits.release(worker, calls)
             return False
         return may_call
@@ -341,7 +341,7 @@
         self.has_not_run = ran is Ran.NOT_RUN
         lacks_worker = code in (Code.NO_UPSTREAM, Code.NO_CAPACITY) and ran is Ran.NOT_RUN
         if lacks_worker and (rest_left_s := self.rest_left_s) > 0.0:
-            detail = "all workers asked for rest or have reached their rate limit"
+            detail = "all workers are in backoff or have reached their rate limit"
             expected_wait_s = rest_left_s
         retry_after_s = None
         if expected_wait_s is not None:
--- a/src/croftchute/forwarding/workers/stage_coordinator.py
+++ b/src/croftchute/forwarding/workers/stage_coordinator.py
@@ -201,7 +201,7 @@
         ]
 
     def _resting_stages(self, beliefs: list[WorkerBelief]) -> dict[str, Stage]:
-        """Return the stages of resting workers; they count as they are, and get no orders."""
+        """Return the stages of workers in backoff; they count as they are but get no orders."""
         now = self.state.clock()
         wishes = self.state.workers.wishes
         return {
--- a/src/croftchute/forwarding/workers/stream_run.py
+++ b/src/croftchute/forwarding/workers/stream_run.py
@@ -103,7 +103,7 @@
                 return
             source = await self.prefill.prefill_for(found[0])
             if run.state.workers.wishes.rest_left_s(found[0].worker.id, run.now) > 0.0:
-                # The worker asked for rest during the prefill: reserve at another one.
+                # The worker asked for backoff during the prefill: reserve at another one.
                 self.reservation.release_unused()
                 continue
             if len(run.workers_sent_to) >= run.route.max_attempts and (
@@ -122,7 +122,7 @@
         return progress.may_have_run and not self.run.route.may_repeat
 
     def _are_prefill_workers_resting(self) -> bool:
-        """Whether only decode workers prefill, as the prefill workers asked for rest."""
+        """Whether only decode workers prefill, as the prefill workers are in backoff."""
         run = self.run
         return run.state.workers.rest_left_s(run.service, run.now, stage=Stage.PREFILL) > 0.0
 
--- a/src/croftchute/forwarding/workers/worker_control.py
+++ b/src/croftchute/forwarding/workers/worker_control.py
@@ -35,7 +35,7 @@
 
 MAX_HOLD_S = 10.0
 """Longest time in seconds that a worker keeps an unused hold or handle; the sites' data sheets say
-0.5 to 2. If a worker asked for a longer rest, its holds and handles are left to expire."""
+0.5 to 2. If a worker asked for a longer backoff, its holds and handles are left to expire."""
 
 
 async def control_call(
--- a/src/croftchute/forwarding/workers/worker_signals.py
+++ b/src/croftchute/forwarding/workers/worker_signals.py
@@ -1,6 +1,6 @@
-"""Records what workers signal about themselves: that they leave, need rest or have a limit.
+"""Records workers' advice: that they leave, ask for backoff or have a rate limit.
 
-Every answer may carry signals, whatever the call was.
+Every answer may carry advice, whatever the call was.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 def record_signals(
     state: ForwardingState, worker: Worker, head: ResponseHead, *, call: str
 ) -> None:
-    """Record the signals in an answer; ``call`` names the kind of call for logs and metrics."""
+    """Record the advice in an answer; ``call`` names the kind of call for logs and metrics."""
     wish = state.workers_speak.wish(head)
     now = state.clock()
     wishes = state.workers.wishes
