--- a/src/croftchute/systems/prefill_queue.py
+++ b/src/croftchute/systems/prefill_queue.py
@@ -1,8 +1,8 @@
-"""How long a prompt would wait at a prefill worker, and whether it is better read elsewhere.
+"""Estimate how long a prompt would wait at a prefill worker, and where it should be prefilled.
 
-A box sees only its own calls. What they tell of a worker's queue is how long they took beyond the
-reading itself, how long those still open are overdue, and how much of its own is ahead. Peers tell
-the same of theirs.
+A box sees only its own calls. They show the queue of a worker in three ways: how much longer the
+last call took than its prefill, how long open calls are overdue, and how many tokens of this box
+are still queued there. Peers report the same about their calls.
 """
 
 from __future__ import annotations
@@ -13,18 +13,19 @@
 from croftchute.systems.service_capacity import LOCAL_PREFILL_SPEED_RATIO
 
 WAIT_HALF_LIFE_S = 0.5
-"""Time in which a wait that was seen counts half: a queue of some prompts of 0.1 s drains so."""
+"""Half-life of an observed wait. A queue of some prompts of 0.1 s each drains in about this
+time."""
 
 REMOTE_PREFILL_SHARE_OF_TARGET = 0.4
-"""Share of the target up to which reading ahead is taken even where the decode worker would be
-quicker: its own reading holds up its streams."""
+"""Share of the first-token target within which a remote prefill is preferred, even where the
+decode worker would be faster. A prefill at the decode worker delays the streams there."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class _OpenCall:
     """One call of this box that the worker has not answered.
 
-    ``expected_s`` is how long it was predicted to take when it was sent; 0 if it was not.
+    ``expected_s`` is the duration predicted when the call was sent; 0 without a prediction.
     """
 
     sent_at: float
@@ -34,7 +35,7 @@
 
 @dataclass(kw_only=True, slots=True)
 class PrefillQueue:
-    """What this box knows of one prefill worker's queue."""
+    """What this box knows about the queue of one prefill worker."""
 
     open_calls_by_request: dict[str, _OpenCall] = field(default_factory=dict)
     observed_wait_s: float = 0.0
@@ -43,21 +44,21 @@
     def note_sent(
         self, request_id: str, tokens: int, now: float, *, expected_s: float = 0.0
     ) -> None:
-        """A prompt goes to the worker."""
+        """Record that a prompt is sent to the worker."""
         self.open_calls_by_request[request_id] = _OpenCall(
             sent_at=now, tokens=tokens, expected_s=expected_s
         )
 
     def sent_since(self, at: float) -> int:
-        """Open calls that were sent after some time."""
+        """Return the number of open calls sent after a time."""
         return sum(call.sent_at > at for call in self.open_calls_by_request.values())
 
     def decayed_observed_wait_s(self, now: float) -> float:
-        """What the wait of the last answered call says of now."""
+        """Return the wait of the last answered call, decayed by its age."""
         return decayed_wait_s(self.observed_wait_s, now - self.observed_at)
 
     def overdue_s(self, *, timing: PrefillTiming, now: float) -> float:
-        """How long the latest of the open calls takes beyond what was predicted for it."""
+        """Return how late the most overdue open call is, compared with its prediction."""
         late_s = (
             now - call.sent_at - max(call.expected_s, timing.prefill_s(call.tokens))
             for call in self.open_calls_by_request.values()
@@ -65,18 +66,18 @@
         return max(0.0, max(late_s, default=0.0))
 
     def note_answered(self, request_id: str, *, timing: PrefillTiming, now: float) -> None:
-        """The worker has read the prompt."""
+        """Record that the worker has prefilled the prompt, and how long the prompt waited."""
         call = self.open_calls_by_request.pop(request_id, None)
         if call is not None:
             self.observed_wait_s = max(0.0, now - call.sent_at - timing.prefill_s(call.tokens))
             self.observed_at = now
 
     def note_dropped(self, request_id: str) -> None:
-        """The call ended without an answer."""
+        """Record that the call ended without an answer."""
         self.open_calls_by_request.pop(request_id, None)
 
     def wait_s(self, *, timing: PrefillTiming, now: float) -> float:
-        """How long one more prompt would wait, as far as this box can tell."""
+        """Return the expected wait of one more prompt, as far as this box can tell."""
         own_tokens = sum(call.tokens for call in self.open_calls_by_request.values())
         overdue_s = [
             now - call.sent_at - timing.prefill_s(call.tokens)
@@ -91,7 +92,7 @@
 
 
 def decayed_wait_s(wait_s: float, age_s: float) -> float:
-    """What a wait seen some time ago says of now.
+    """Return an observed wait, decayed by its age.
 
     >>> decayed_wait_s(0.4, WAIT_HALF_LIFE_S)
     0.2
@@ -101,7 +102,11 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class PrefillEstimate:
-    """Predicted seconds until a prompt is read: ahead at a prefill worker, or where it decodes."""
+    """Predicted seconds until a prompt is prefilled, at a prefill worker or at its decode worker.
+
+    ``remote_s`` is for the prefill worker and includes ``wait_s``; ``local_s`` is for the decode
+    worker.
+    """
 
     wait_s: float
     remote_s: float
@@ -111,7 +116,7 @@
     def predict(
         cls, *, prompt_tokens: int, timing: PrefillTiming, wait_s: float
     ) -> PrefillEstimate:
-        """The times for one prompt, given the wait at the prefill worker and its pace."""
+        """Estimate both times from the wait at the prefill worker and its timing."""
         prefill_s = prompt_tokens / timing.tokens_per_s
         return cls(
             wait_s=wait_s,
@@ -120,7 +125,7 @@
         )
 
     def prefers_remote(self, *, target_s: float) -> bool:
-        """Whether the prompt should go to the prefill worker.
+        """Return whether the prompt should go to the prefill worker.
 
         >>> PrefillEstimate(wait_s=0.1, remote_s=0.2, local_s=0.15).prefers_remote(target_s=0.9)
         True
--- a/src/croftchute/systems/prefill_timing.py
+++ b/src/croftchute/systems/prefill_timing.py
@@ -1,7 +1,7 @@
-"""How quickly prefill workers read, learnt from how long calls took.
+"""Fit the time of prefill calls to the size of their prompts.
 
-A call takes a fixed time, the reading itself, and a wait behind other prompts. The calls that did
-not wait lie on a line over the size of their prompts; its slope is the pace.
+A call takes a fixed overhead, the prefill itself, and the wait behind other prompts. The calls that
+did not wait lie on a line over the prompt size. Its slope gives the tokens read per second.
 """
 
 from __future__ import annotations
@@ -10,24 +10,27 @@
 from dataclasses import dataclass
 
 DEFAULT_TOKENS_PER_S = 20_000.0
-"""Tokens a second that a prefill worker is taken to read until one was seen."""
+"""Prefill speed that is assumed until a call has been observed."""
 
 MIN_SAMPLES = 6
-"""Fewest calls to draw a line through."""
+"""Fewest calls that a line is fitted to."""
 
 UNQUEUED_SHARE = 0.5
-"""Share of the calls taken not to have waited: a worker that is half busy lets half go at once."""
+"""Share of the calls that are assumed not to have waited. A worker that is busy half of the time
+serves half of the calls at once."""
 
 FIT_ROUNDS = 4
-"""How often the line is drawn anew through the calls closest to it from below; it settles by 3."""
+"""Times that the line is fitted again to the calls with the smallest residuals. The fit settles
+within 3 rounds."""
 
 MAX_SPEED_OVER_FASTEST = 1.5
-"""Most that the fitted pace may lie above the fastest call's: more is an accident of few sizes."""
+"""Limit on the fitted speed, as a multiple of the fastest single call. A higher result is noise
+from prompts of too few sizes."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class PrefillSample:
-    """One prefill call that was answered: tokens of its prompt, and the seconds it took."""
+    """One completed prefill call: the tokens of its prompt and its duration in seconds."""
 
     tokens: int
     seconds: float
@@ -35,13 +38,17 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class PrefillTiming:
-    """Seconds that a call takes beside its reading, and the tokens read a second."""
+    """Linear model of the time of a prefill call.
+
+    ``overhead_s`` does not depend on the prompt; ``tokens_per_s`` is the speed of the prefill
+    itself.
+    """
 
     overhead_s: float = 0.0
     tokens_per_s: float = DEFAULT_TOKENS_PER_S
 
     def prefill_s(self, tokens: int) -> float:
-        """How long a call takes that need not wait.
+        """Return the duration of a call that does not wait.
 
         >>> PrefillTiming(overhead_s=0.1, tokens_per_s=30_000).prefill_s(3000)
         0.2
@@ -50,7 +57,7 @@
 
 
 def fit_prefill_timing(samples: Sequence[PrefillSample]) -> PrefillTiming:
-    """The pace that some calls show.
+    """Return the timing that fits some completed calls.
 
     >>> calls = [PrefillSample(tokens=n * 1000, seconds=0.05 + n / 30) for n in range(1, 9)]
     >>> calls += [PrefillSample(tokens=n * 1000, seconds=0.35 + n / 30) for n in range(1, 5)]
@@ -74,7 +81,7 @@
 
 
 def _fit_line(samples: Sequence[PrefillSample], fastest: float) -> PrefillTiming:
-    """Least squares, held between the fastest call's speed and a multiple of it."""
+    """Fit by least squares; the speed is kept between the fastest call and a multiple of it."""
     count = len(samples)
     mean_tokens = sum(sample.tokens for sample in samples) / count
     mean_s = sum(sample.seconds for sample in samples) / count
--- a/src/croftchute/systems/service_capacity.py
+++ b/src/croftchute/systems/service_capacity.py
@@ -1,9 +1,9 @@
-"""How many requests a second a split of engines into stages serves, for a given kind of load.
+"""Estimate the request rate that a split of engines into stages can serve.
 
-A prompt is read by a prefill worker, or by the decode worker itself where prefill workers have no
-time left; the latter takes longer and holds up the streams that run there. A stream holds decode
-memory from its admission to its end. From the averages of what requests of a service are like, and
-from the paces seen, follows how many of them a second each split can serve, and so the best one.
+A prompt is prefilled by a prefill worker, or by its decode worker when the prefill workers have no
+time left. A prefill at the decode worker takes longer and delays the streams there. A stream holds
+KV memory from its admission to its end. The averages of a service's requests and the measured
+speeds give the request rate of each split, and so the best split.
 """
 
 from __future__ import annotations
@@ -12,30 +12,32 @@
 from enum import StrEnum
 
 MAX_PREFILL_UTILIZATION = 0.85
-"""Share of its time that a prefill worker can be busy at the most. Prompts arrive at random; above
-this a queue of some prompts is the rule (single-server queue)."""
+"""Highest share of its time that a prefill worker can be busy. Prompts arrive at random, so that
+above this share several prompts usually wait (single-server queue)."""
 
 MIN_PREFILL_UTILIZATION = 0.3
-"""The same at the least, however long prompts take to read."""
+"""Lower limit of the planned utilization of a prefill worker, however long its prompts take."""
 
 PREFILL_SHARE_OF_TARGET = 0.6
-"""Share of the target within which a prompt should be read, its wait included: the rest is for
-room, the move of the cache and the first event."""
+"""Share of the first-token target in which a prompt should be prefilled, wait included. The rest
+is for admission, the transfer of the KV cache and the first event."""
 
 MAX_KV_UTILIZATION = 0.9
-"""Share of decode memory that holds can fill: a request of average size does not fit the rest."""
+"""Highest share of KV memory that streams can fill: a request of average size does not fit into
+the rest."""
 
 LOCAL_PREFILL_SPEED_RATIO = 0.5
-"""Pace of a decode worker that reads a prompt itself, over that of a prefill worker (platform)."""
+"""Prefill speed of a decode worker, relative to a prefill worker. The platform gives this
+figure."""
 
 
 class SplitMode(StrEnum):
     """How engines are split into stages.
 
-    ``by_target`` and ``fixed_use`` serve the most requests, with prefill workers as busy as their
-    prompts and the target allow, or a fixed share; ``headroom`` goes by the speeds of the engines
-    and the present demand. ``auto`` is ``headroom`` for services whose workers report a pace, and
-    ``fixed_use`` for others.
+    ``by_target`` and ``fixed_use`` maximize the request rate. ``fixed_use`` plans prefill workers
+    at a fixed utilization; ``by_target`` lowers it where long prompts would miss the first-token
+    target. ``headroom`` compares the speed of the engines with the present demand. ``auto`` is
+    ``headroom`` for services whose workers report a pace, and ``fixed_use`` for others.
     """
 
     AUTO = "auto"
@@ -57,21 +59,21 @@
 
     @property
     def decode_s(self) -> float:
-        """How long a stream runs at a decode worker, in seconds."""
+        """Return the mean time of a stream at a decode worker, in seconds."""
         return self.output_tokens * self.output_token_s
 
     @property
     def mean_kv_tokens(self) -> float:
-        """Decode memory that a stream holds on average over its time, in tokens."""
+        """Return the KV memory that a stream holds on average over its lifetime, in tokens."""
         return self.prompt_tokens + self.output_tokens / 2.0
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class EngineCapacity:
-    """What one engine can do: ``prefill_tokens_per_s`` in tokens a second, memory in tokens.
+    """Capacity of one engine; ``kv_tokens`` is its KV memory in tokens.
 
-    ``prefill_limit_s`` is the time in which a prompt should be read, wait included; 0 if none is
-    set.
+    ``prefill_limit_s`` is the time in which a prompt should be prefilled, wait included; 0 sets no
+    limit.
     """
 
     prefill_tokens_per_s: float
@@ -80,10 +82,11 @@
     prefill_limit_s: float = 0.0
 
     def max_prefill_utilization(self, prompt_tokens: float) -> float:
-        """The share of its time that a prefill worker may be busy with prompts of a mean length.
+        """Return the share of its time that a prefill worker may be busy, for a mean prompt length.
 
-        So much that the mean wait at one server with random arrivals and like prompts,
-        ``use * reading / (2 * (1 - use))``, still fits the limit.
+        This is the highest utilization whose mean wait still fits the limit. The mean wait is that
+        of a single server with random arrivals and prompts of one size, ``utilization * prefill_s /
+        (2 * (1 - utilization))``.
 
         >>> capacity = EngineCapacity(
         ...     prefill_tokens_per_s=33_000, kv_tokens=26_000, slots=16, prefill_limit_s=0.55
@@ -103,7 +106,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class StageSplit:
-    """So many workers of each stage, and the requests a second that they can serve."""
+    """Numbers of workers in each stage, and the request rate that they can serve."""
 
     prefill_workers: int
     decode_workers: int
@@ -113,7 +116,9 @@
 def max_request_rate(
     prefill_workers: int, decode_workers: int, averages: RequestAverages, capacity: EngineCapacity
 ) -> float:
-    """Requests a second that a split can serve; prompts that overflow are read at decode workers.
+    """Return the request rate that a split can serve, in requests per second.
+
+    Prompts that exceed the capacity of the prefill workers are prefilled at decode workers.
 
     >>> averages = RequestAverages(prompt_tokens=3000, output_tokens=600, output_token_s=0.005)
     >>> capacity = EngineCapacity(prefill_tokens_per_s=30_000, kv_tokens=40_000, slots=64)
@@ -129,16 +134,17 @@
     decode_rate = decode_workers / decode_work_s
     if decode_rate * prefill_s <= prefill_capacity:
         return decode_rate
-    # Decode workers spend the time that their own reading takes, and run streams in the rest.
+    # Decode workers spend part of their time on local prefills and run streams in the rest.
     local_prefill_s = prefill_s / LOCAL_PREFILL_SPEED_RATIO
     workers = decode_workers + prefill_capacity / LOCAL_PREFILL_SPEED_RATIO
     return workers / (decode_work_s + local_prefill_s)
 
 
 def best_split(workers: int, averages: RequestAverages, capacity: EngineCapacity) -> StageSplit:
-    """The split of so many workers that serves the most, with as few prefill workers as do.
+    """Return the split with the highest request rate; on a tie, the fewest prefill workers.
 
-    Of two workers and more one is left to read prompts: without any, each prompt holds up streams.
+    Among two or more workers at least one does prefill: without it, each prompt would delay the
+    streams of a decode worker.
 
     >>> averages = RequestAverages(prompt_tokens=3000, output_tokens=600, output_token_s=0.005)
     >>> capacity = EngineCapacity(prefill_tokens_per_s=30_000, kv_tokens=40_000, slots=64)
@@ -156,7 +162,7 @@
 def evaluate_split(
     prefill_workers: int, decode_workers: int, averages: RequestAverages, capacity: EngineCapacity
 ) -> StageSplit:
-    """One split with its rate."""
+    """Return a split together with its request rate."""
     rate = max_request_rate(prefill_workers, decode_workers, averages, capacity)
     return StageSplit(
         prefill_workers=prefill_workers, decode_workers=decode_workers, requests_per_s=rate
--- a/tests/systems/test_prefill_timing.py
+++ b/tests/systems/test_prefill_timing.py
@@ -9,7 +9,7 @@
 
 
 def calls(count, *, waiting_share, seed=1):
-    """Calls at 30,000 tokens a second and 60 ms beside, some of which waited up to 0.3 s."""
+    """Return calls at 30,000 tokens/s with 60 ms overhead; some waited for up to 0.3 s."""
     rng = random.Random(seed)
     found = []
     for _ in range(count):
@@ -19,25 +19,25 @@
     return found
 
 
-def test_without_calls_the_pace_is_a_guess():
+def test_without_calls_the_default_speed_is_assumed():
     assert fit_prefill_timing([]) == PrefillTiming(
         overhead_s=0.0, tokens_per_s=DEFAULT_TOKENS_PER_S
     )
 
 
-def test_of_few_calls_the_quickest_counts():
-    """It used to count for ever, however many calls told more."""
+def test_few_calls_give_the_speed_of_the_fastest():
+    """The fastest of few calls must not set the speed for good, once more calls are known."""
     few = [PrefillSample(tokens=3000, seconds=0.3), PrefillSample(tokens=3000, seconds=0.15)]
     assert fit_prefill_timing(few) == PrefillTiming(overhead_s=0.0, tokens_per_s=20_000.0)
 
 
-def test_calls_that_waited_do_not_slow_the_pace():
+def test_calls_that_waited_do_not_lower_the_fitted_speed():
     for seed in range(20):
         found = fit_prefill_timing(calls(40, waiting_share=0.4, seed=seed))
         assert 27_000 < found.tokens_per_s < 36_000
         assert 0.04 < found.overhead_s < 0.09
 
 
-def test_prompts_of_one_size_tell_the_quickest_pace():
+def test_prompts_of_one_size_give_the_speed_of_the_fastest_call():
     same = [PrefillSample(tokens=3000, seconds=0.15 + 0.01 * n) for n in range(10)]
     assert fit_prefill_timing(same).tokens_per_s == 20_000.0
