--- a/src/croftchute/systems/stage_balance.py
+++ b/src/croftchute/systems/stage_balance.py
@@ -1,8 +1,8 @@
-"""Which engines of a service should change their stage, so that the service can serve the most.
+"""Plan stage changes so that a service serves the highest request rate.
 
-The averages of what was asked lately, told by all boxes, go into the capacity model; the present
-split is left alone unless another one serves clearly more, since a worker that changes its stage
-serves nobody for some seconds.
+The capacity model gets the averages of recent requests, as reported by all boxes. The present split
+stays unless another one serves clearly more, because a worker that changes its stage serves nothing
+for some seconds.
 """
 
 from __future__ import annotations
@@ -23,33 +23,36 @@
 from croftchute.tables.routing import Stage, Worker, WorkerState
 
 DEMAND_WINDOW_S = 10.0
-"""Seconds over which asks are averaged: some tens of them, and younger than a shift of the load."""
+"""Window over which requests are averaged. It holds some tens of requests and is shorter than
+most shifts of the load."""
 
 MIN_REQUESTS = 8
-"""Fewest asks to average: their mean prompt is then known to about a fifth."""
+"""Fewest requests to average. Their mean prompt length is then known to about 20 %."""
 
 MIN_ENDED_STREAMS = 3
-"""Fewest ended streams to learn the time of an output token from."""
+"""Fewest ended streams from which the time of an output token is taken."""
 
 MIN_GAIN = 0.1
-"""Share by which another split must serve more: about the error of the averages, and more than
-one worker's absence of some seconds costs within a minute."""
+"""Relative gain in request rate that justifies a change. It is about the error of the averages,
+and more than the absence of a worker for some seconds costs within a minute."""
 
 MAX_SHARE_TO_DECODE = 0.5
-"""Share of the prefill workers that may be changed at once; what is short then shows next time."""
+"""Share of the prefill workers that may change at once. If more are needed, the next round shows
+it."""
 
 MAX_SHARE_TO_PREFILL = 0.1
-"""Share of the decode workers that may be taken from their streams at once (at least one)."""
+"""Share of the decode workers that may leave their streams at once (at least one)."""
 
 MAX_PREFILL_SAMPLES = 32
-"""Latest prefill calls of this box that are kept to learn the pace from."""
+"""Number of recent prefill calls of this box that are kept to fit the prefill timing."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class StageChange:
-    """A worker that should change its stage, and why.
+    """A worker that should change its stage, with the reason.
 
-    ``is_urgent``: nothing is served without it, so that it is not waited whether the need lasts.
+    ``is_urgent`` means that the service serves nothing without the change, so that it is ordered
+    without waiting for the need to last.
     """
 
     worker: Worker
@@ -60,10 +63,10 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class DemandCounts:
-    """Sums over the window: asks with their tokens, and streams that ended with their time.
+    """Sums over the window: requests with their tokens, and ended streams with their duration.
 
-    Large asks, which need most of an engine, count in both ways; ``granted`` are those that got
-    room.
+    ``asks`` are requests for decode memory. Large requests, which need most of an engine, are also
+    counted apart. ``granted`` are the requests that were admitted.
     """
 
     asks: int = 0
@@ -93,7 +96,7 @@
 
     @property
     def averages(self) -> RequestAverages | None:
-        """The averages; None while there is too little to go by.
+        """Return the averages; None while there are too few requests or ended streams.
 
         >>> DemandCounts(asks=2).averages is None
         True
@@ -109,7 +112,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class _DemandEvent:
-    """Counts of one event, and when it was."""
+    """The counts of one event and its time."""
 
     at: float
     counts: DemandCounts
@@ -117,7 +120,7 @@
 
 @dataclass(kw_only=True)
 class RecentDemand:
-    """What requests of a service have asked for lately, and its latest prefill calls."""
+    """Recent requests to a service, and its latest prefill calls."""
 
     events: deque[_DemandEvent] = field(default_factory=deque)
     prefills: deque[PrefillSample] = field(
@@ -127,7 +130,7 @@
     def note_ask(
         self, now: float, *, prompt_tokens: int, output_tokens: int, is_large: bool = False
     ) -> None:
-        """Count one request that asked for room."""
+        """Count a request for decode memory."""
         counts = DemandCounts(
             asks=1,
             prompt_tokens=prompt_tokens,
@@ -138,19 +141,19 @@
         self._add(now, counts)
 
     def note_granted(self, now: float, *, is_large: bool) -> None:
-        """Count a request that got room."""
+        """Count a request that was admitted."""
         self._add(now, DemandCounts(granted=1, large_granted=int(is_large)))
 
     def note_ended(self, now: float, *, output_tokens: int, seconds: float) -> None:
-        """Count a stream that one decode worker brought from its first event to its end."""
+        """Count a stream that one decode worker ran from its first event to its end."""
         self._add(now, DemandCounts(ended=1, ended_tokens=output_tokens, ended_s=seconds))
 
     def note_prefill(self, tokens: int, seconds: float) -> None:
-        """Keep how long a prefill call took."""
+        """Record the duration of a prefill call."""
         self.prefills.append(PrefillSample(tokens=tokens, seconds=seconds))
 
     def counts(self, now: float) -> DemandCounts:
-        """What was asked, and what ended, in the window."""
+        """Return the sums over the events in the window."""
         self._expire(now)
         return sum((event.counts for event in self.events), DemandCounts())
 
@@ -170,9 +173,9 @@
     *,
     pending_stages: dict[str, Stage],
 ) -> list[StageChange]:
-    """The stage changes that a service needs, given what all boxes were asked for lately.
+    """Return the stage changes that a service needs, given the recent demand at all boxes.
 
-    ``pending_stages`` are stages of workers whose orders are on their way; they count as changed.
+    ``pending_stages`` are the stages of workers whose orders are under way; they count as changed.
     """
     listed = [b for b in beliefs if b.gone_at is None and b.worker.state is WorkerState.READY]
     by_stage = {
@@ -207,7 +210,7 @@
     pending_stages: dict[str, Stage],
     reason: str,
 ) -> list[StageChange]:
-    """So many workers of the other stage, the idlest of halls that are short of decode workers."""
+    """Choose the idlest workers of the other stage, and balance decode workers over the halls."""
     other = Stage.PREFILL if stage is Stage.DECODE else Stage.DECODE
     decodes_by_hall = Counter(belief.worker.zone for belief in by_stage[Stage.DECODE])
     sign = 1 if stage is Stage.DECODE else -1
--- a/src/croftchute/systems/stage_headroom.py
+++ b/src/croftchute/systems/stage_headroom.py
@@ -1,8 +1,8 @@
-"""Which engines of a service should change their stage, by their speeds and the present demand.
+"""Plan stage changes by the speed of the engines and the present demand.
 
-Each engine has a speed, 1 over its pace. The use of a stage is the work demanded of it over the
-summed speed of its engines; a split is judged by the stage that is further above its aim. The
-present split is left alone while both stages are within their aims. See
+The speed of an engine is the inverse of its pace. The utilization of a stage is the work that is
+demanded of it, divided by the summed speed of its engines. A split is judged by the stage that
+exceeds its target most. The present split stays while both stages are within their targets. See
 ``docs/design/hard-load.md``, part 5.
 """
 
@@ -26,41 +26,43 @@
 from croftchute.tables.routing import EngineTraits, Stage, WorkerState
 
 TARGET_PREFILL_UTILIZATION = 0.75
-"""Aimed use of prefill workers: prompts go to the soonest of some that were just asked, so that
-their mean wait is under their prefill time up to about here; more would idle decode memory."""
+"""Target utilization of prefill workers. A prompt goes to the one of several probed workers that
+can serve it first, so that up to about this utilization the mean wait is shorter than the
+prefill itself. A lower target would leave decode memory idle."""
 
 TARGET_DECODE_UTILIZATION = MAX_KV_UTILIZATION
-"""Aimed use of decode memory: a request of average size does not fit the rest."""
+"""Target utilization of decode memory. A request of average size does not fit into the rest."""
 
 MAX_DONOR_PREFILL_UTILIZATION = MAX_PREFILL_UTILIZATION
-"""Highest use at which prefill workers are left by a change that gains decode memory."""
+"""Highest utilization of the remaining prefill workers after a change that adds decode memory."""
 
 MIN_GAIN = 0.1
-"""Share by which a change must lower the value of the split: about the error of the averages."""
+"""Share by which a change must lower the overload of the split: about the error of the averages."""
 
 MAX_SHARE_CHANGING = 0.25
-"""Share of the workers of a stage that change at once (at least one): they serve nobody then."""
+"""Share of the workers of a stage that change at the same time (at least one), because they
+serve nothing meanwhile."""
 
 MIN_REVERSAL_SHIFT = 1.0 / 3.0
-"""Share by which the need must have turned before a recent change is undone: several times the
-error of the averages."""
+"""Relative shift of the load ratio that allows a recent change to be undone. It is several times
+the error of the averages."""
 
 HOLD_MULTIPLE = 2.0
-"""Times the length of a change for which it is not undone: the first has no effect before its end,
-and the averages show the effect as much later."""
+"""Time for which a change is not undone, as a multiple of its duration. The change has no effect
+before its end, and the averages take about as long again to show the effect."""
 
 LOG_SPEED_STEP = 0.1
-"""Speeds are rounded to steps of a tenth, about the error of a pace: among engines that are alike,
-the hall and the work in progress decide."""
+"""Step to which the logarithm of a speed is rounded, about the error of a pace. Among engines of
+similar speed, the hall and the work in progress then decide."""
 
 OTHER_STAGE = {Stage.PREFILL: Stage.DECODE, Stage.DECODE: Stage.PREFILL}
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class StageLoad:
-    """Work demanded each second, in engines of the usual speed.
+    """Demanded work per second, in engines of the usual speed.
 
-    ``change_s`` is the length of a change in seconds: the end of the streams and the switch.
+    ``change_s`` is the duration of a stage change: the streams that end first, and the switch.
     """
 
     prefill: float
@@ -69,11 +71,11 @@
 
     @property
     def load_ratio(self) -> float:
-        """Prefill work over decode work; does not depend on the rate of requests."""
+        """Return prefill work over decode work, which does not depend on the request rate."""
         return self.prefill / self.decode if self.decode > 0.0 else math.inf
 
     def is_valid(self) -> bool:
-        """Whether the figures can be used.
+        """Return whether all figures are finite and not negative.
 
         >>> StageLoad(prefill=1.0, decode=math.nan, change_s=9.0).is_valid()
         False
@@ -84,7 +86,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class StageUtilization:
-    """Use of both stages of a split, 1.0 being all that their engines can do."""
+    """Utilization of both stages of a split; 1.0 is all that their engines can do."""
 
     prefill_workers: int
     decode_workers: int
@@ -93,7 +95,7 @@
 
     @property
     def overload(self) -> float:
-        """The larger use over its aim; within the aims up to 1.0."""
+        """Return the larger ratio of utilization to target; up to 1.0 both targets are met."""
         return max(
             self.prefill / TARGET_PREFILL_UTILIZATION, self.decode / TARGET_DECODE_UTILIZATION
         )
@@ -101,7 +103,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class _Engine:
-    """An engine in the stage that it has or is about to have; speeds by the work of the stage."""
+    """An engine in its present or ordered stage, with its speed in each stage."""
 
     belief: WorkerBelief
     stage: Stage
@@ -115,14 +117,14 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class _Order:
-    """An order given: the need it was given for, and until when it is not undone."""
+    """A recent order: the load ratio at that time, and until when the order is not undone."""
 
     stage: Stage
     load_ratio: float
     until: float
 
     def blocks(self, stage: Stage, load_ratio: float) -> bool:
-        """Whether the need has not turned enough for an order to the other stage."""
+        """Return whether the load has shifted too little for an order to the other stage."""
         if stage is self.stage:
             return False
         if stage is Stage.PREFILL:
@@ -132,7 +134,7 @@
 
 @dataclass(kw_only=True)
 class HeadroomPlanner:
-    """Decides for one service, and remembers what it ordered of late; times are in seconds."""
+    """Plans the stage changes of one service and remembers its recent orders."""
 
     _orders_by_worker: dict[str, _Order] = field(default_factory=dict)
     _load: StageLoad | None = None
@@ -149,12 +151,12 @@
         pending_stages: dict[str, Stage],
         now: float,
     ) -> list[StageChange]:
-        """The changes that the service needs; none where the figures are too few or not valid.
+        """Return the changes that the service needs; none if the figures are too few or invalid.
 
-        ``counts`` are sums over some boxes, ``scale`` is the boxes of the fleet over those;
-        ``timing`` is that of a prefill call at the usual pace; ``pending_stages`` are stages of
-        workers that get no order: those that change count as changed, those that rest as they
-        are.
+        ``counts`` are sums over some boxes, and ``scale`` is the number of boxes in the fleet over
+        those. ``timing`` is that of prefill calls at the usual pace. ``pending_stages`` are the
+        stages of workers that get no order: a worker that is changing counts in its new
+        stage, a resting worker counts in its present stage.
         """
         engines = _engines(beliefs, pending_stages, paces, now)
         load = _stage_load(counts, engines, scale=scale, timing=timing, traits=traits)
@@ -177,7 +179,7 @@
         return self._changes(engines, stage, load, present, counts, pending_stages, scale)
 
     def note_ordered(self, worker_id: str, stage: Stage, now: float) -> None:
-        """An order was given that may be carried out."""
+        """Record an order that the worker may carry out."""
         if self._load is not None:
             until = now + HOLD_MULTIPLE * self._load.change_s
             self._orders_by_worker[worker_id] = _Order(
@@ -192,9 +194,9 @@
     def _add_first_decode(
         self, engines: list[_Engine], pending_stages: dict[str, Stage]
     ) -> list[StageChange]:
-        """One decode worker where there is none: without it, nothing is served.
+        """Choose a decode worker for a service that has none and therefore serves nothing.
 
-        Only here an engine may be ordered again early, if all were ordered of late.
+        Only here may an engine be ordered again early, if all engines have recent orders.
         """
         free = [engine for engine in engines if engine.id not in pending_stages]
         if not free:
@@ -225,7 +227,7 @@
         pending_stages: dict[str, Stage],
         scale: float,
     ) -> list[StageChange]:
-        """The engines that should get a stage, as many as may change at once."""
+        """Return the engines to change to a stage, limited to those that may change at once."""
         other = OTHER_STAGE[stage]
         staying = [e for e in engines if e.stage is other and not e.is_pending]
         pending = sum(e.stage is stage and e.is_pending for e in engines)
@@ -251,7 +253,7 @@
         ]
 
     def _was_ordered(self, engine: _Engine, stage: Stage) -> bool:
-        """Whether an engine was ordered to the same stage of late, without effect so far."""
+        """Return whether a recent order to the same stage has not taken effect yet."""
         order = self._orders_by_worker.get(engine.id)
         return order is not None and order.stage is stage
 
@@ -259,7 +261,7 @@
 def _engines(
     beliefs: Sequence[WorkerBelief], pending_stages: dict[str, Stage], paces: PaceView, now: float
 ) -> list[_Engine]:
-    """The listed engines of both stages; ordered changes count as carried out."""
+    """Return the listed engines of both stages; ordered changes count as carried out."""
     engines = []
     for belief in beliefs:
         worker = belief.worker
@@ -284,7 +286,7 @@
 
 
 def _speed(factor: float) -> float:
-    """1 over a pace, rounded; the usual speed if the pace is not valid.
+    """Return the rounded inverse of a pace; 1.0 if the pace is invalid.
 
     >>> round(_speed(0.6), 2), _speed(0.98), _speed(math.nan)
     (1.65, 1.0, 1.0)
@@ -302,7 +304,7 @@
     timing: PrefillTiming,
     traits: EngineTraits,
 ) -> StageLoad | None:
-    """What all boxes are asked for each second; None if that is not known."""
+    """Return the work that all boxes demand per second; None if it is not known."""
     averages = counts.averages
     is_known = traits.kv_tokens > 0 and timing.tokens_per_s > 0.0 and math.isfinite(scale)
     if averages is None or not is_known:
@@ -320,10 +322,11 @@
 
 
 def _usual_stream_s(averages: RequestAverages, engines: Iterable[_Engine]) -> float:
-    """The time of a stream at the usual pace.
+    """Return the duration of a stream at the usual pace.
 
-    The mean over ended streams is that of the present decode workers: equally filled, they end
-    streams in proportion to their speed, so that it is the usual time over their mean speed.
+    The mean over ended streams reflects the speed of the present decode workers. At equal load they
+    end streams in proportion to their speed, so that the mean is the usual time over their mean
+    speed.
     """
     speeds = [
         engine.speed_by_stage[Stage.DECODE]
@@ -338,7 +341,7 @@
 
 
 def _utilization(engines: Sequence[_Engine], load: StageLoad) -> StageUtilization:
-    """The use of both stages, changes ordered counted as carried out."""
+    """Return the utilization of both stages; ordered changes count as carried out."""
     prefills = sum(engine.stage is Stage.PREFILL for engine in engines)
     return StageUtilization(
         prefill_workers=prefills,
@@ -349,7 +352,7 @@
 
 
 def _with_stage(engines: Sequence[_Engine], ids: Sequence[str], stage: Stage) -> list[_Engine]:
-    """The engines once some of them have a stage."""
+    """Return the engines after some of them have changed to a stage."""
     return [replace(e, stage=stage) if e.id in ids else e for e in engines]
 
 
@@ -360,17 +363,17 @@
 def _search(
     engines: Sequence[_Engine], free: Sequence[_Engine], stage: Stage, load: StageLoad
 ) -> stage_search.StageSearch:
-    """The choice among free engines, so that the time of the change itself is no worse than now.
+    """Prepare the choice of engines, limited so that the change itself does no harm.
 
-    Engines that change are missing on both sides meanwhile. The stage that gives them may then be
-    as far above its aim as the split is at present, and prefill workers not above their limit.
+    Engines that change serve neither stage meanwhile. The donor stage may then exceed its target by
+    as much as the split does at present; prefill workers must also stay below their limit.
     """
     other = OTHER_STAGE[stage]
     target_by_stage = {
         Stage.PREFILL: TARGET_PREFILL_UTILIZATION,
         Stage.DECODE: TARGET_DECODE_UTILIZATION,
     }
-    # In units of speed: a stage with this speed is just at its aim.
+    # A stage with this summed speed exactly meets its target.
     required_speed_by_stage = {
         Stage.PREFILL: load.prefill / TARGET_PREFILL_UTILIZATION,
         Stage.DECODE: load.decode / TARGET_DECODE_UTILIZATION,
--- a/src/croftchute/systems/stage_search.py
+++ b/src/croftchute/systems/stage_search.py
@@ -1,6 +1,7 @@
-"""Which engines to move from one stage to the other, so that the busier of both is least busy.
+"""Choose the engines to move between stages so that the more overloaded stage is least overloaded.
 
-Exact for few engines, greedy for many. Pure; work and speeds are in engines of the usual speed.
+The search is exact for few engines and greedy for many. It has no side effects. Work and speed are
+in engines of the usual speed.
 """
 
 from __future__ import annotations
@@ -12,17 +13,18 @@
 from itertools import combinations
 
 MAX_EXACT_ENGINES = 12
-"""Engines up to which all choices are compared: 2,048 at most, some milliseconds."""
+"""Most engines for which all choices are compared: up to 2,048 choices, in some milliseconds."""
 
 MAX_EXCHANGES = 8
-"""Most exchanges that refine a greedy choice: bounds the time; one or two are the rule."""
+"""Most exchanges that refine a greedy choice. This bounds the time; one or two are usual."""
 
 ROUND_DIGITS = 9
-"""Decimal places in which values are compared: sums in another order differ below."""
+"""Decimal places in which overloads are compared. The order of summation changes the digits
+beyond."""
 
 
 def work_over_speed(work: float, speed: float) -> float:
-    """Work over speed; infinite where nothing is there to do it.
+    """Return work over speed; infinite if there is work but no speed.
 
     >>> work_over_speed(3.0, 2.0), work_over_speed(1.0, 0.0), work_over_speed(0.0, 0.0)
     (1.5, inf, 0.0)
@@ -34,7 +36,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Candidate:
-    """An engine that may be moved: the speed its stage loses, and what the other one gains."""
+    """An engine that may move: the speed lost by its stage, and gained by the other one."""
 
     id: str
     hall: str
@@ -45,7 +47,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class StageSpeed:
-    """A stage: the speed at which it would be just at its aim, and the speed that it has."""
+    """The summed speed of a stage, and the speed at which it would exactly meet its target."""
 
     required_speed: float
     speed: float
@@ -53,7 +55,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class _Choice:
-    """Some candidates, with the summed speeds."""
+    """Chosen candidates with their summed speeds."""
 
     chosen: tuple[Candidate, ...] = ()
     speed_lost: float = 0.0
@@ -69,10 +71,11 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class StageSearch:
-    """One choice: ``max_speed_lost`` is the most speed that the giving stage may lose.
+    """One search; ``max_speed_lost`` is the most speed that the donor stage may lose.
 
-    Among choices of the same value the one with fewest engines is taken, then the one that leaves
-    decode workers most evenly over halls, then the one with fewest tokens in progress.
+    Among choices of equal overload the search takes the one with the fewest engines, then the one
+    that spreads decode workers most evenly over halls, then the one with the fewest tokens in
+    progress.
     """
 
     candidates: Sequence[Candidate]
@@ -83,12 +86,12 @@
     is_to_decode: bool
 
     def best_ids(self, *, max_count: int, is_exact: bool) -> list[str]:
-        """Ids of the engines to move, at most so many; empty if none lowers the value."""
+        """Return the ids of at most ``max_count`` engines to move; empty if no move helps."""
         choice = self._search_exact(max_count) if is_exact else self._search_greedy(max_count)
         return [candidate.id for candidate in choice.chosen]
 
     def overload(self, choice: _Choice) -> float:
-        """How far the busier stage is above its aim once the engines have moved."""
+        """Return the ratio to target of the more overloaded stage after the moves."""
         donor, receiver = self._overloads(choice)
         return round(max(donor, receiver), ROUND_DIGITS)
 
@@ -122,9 +125,11 @@
         return best
 
     def _search_greedy(self, max_count: int) -> _Choice:
-        """The better of two: the largest gain each time, and the largest that leaves room for more.
+        """Return the better of two greedy choices.
 
-        The first alone can take one engine that is too large where two smaller ones fit.
+        One takes the largest gain in each step. The other first takes only engines that keep the
+        donor stage less overloaded than the receiver. The first alone may take one large engine
+        where two smaller ones fit better.
         """
         direct = self._extend(_Choice(), max_count, may_overload_donor=True)
         careful = self._extend(_Choice(), max_count, may_overload_donor=False)
@@ -133,9 +138,9 @@
         return min(choices, key=lambda choice: (self.overload(choice), self._tie_break(choice)))
 
     def _extend(self, choice: _Choice, max_count: int, *, may_overload_donor: bool) -> _Choice:
-        """Add the best engine while that lowers the value.
+        """Add the best engine while that lowers the overload.
 
-        Unless it ``may_overload_donor``, the giving stage stays the less busy one.
+        Unless ``may_overload_donor`` is set, the donor stage must stay the less overloaded one.
         """
         while len(choice.chosen) < max_count:
             options = []
@@ -155,7 +160,7 @@
         return choice
 
     def _distinct_candidates(self, choice: _Choice) -> list[Candidate]:
-        """Of the engines not chosen, the first of each speed by hall and tokens in progress.
+        """Return the best remaining engine of each speed, by hall and tokens in progress.
 
         Speeds are rounded, so that these are few however many engines there are.
         """
@@ -175,7 +180,7 @@
         return [candidate for _, candidate in first_by_speed.values()]
 
     def _refine(self, choice: _Choice, max_count: int) -> _Choice:
-        """Exchange one or two engines for one or two others, while that lowers the value."""
+        """Exchange one or two engines for one or two others while that lowers the overload."""
         for _ in range(MAX_EXCHANGES):
             better = self._best_exchange(choice, max_count)
             if better is None:
@@ -211,7 +216,7 @@
         return exchanged
 
     def _tie_break(self, choice: _Choice) -> tuple[int, int, int, tuple[str, ...]]:
-        """What decides between choices of the same value."""
+        """Return the key that decides between choices of equal overload."""
         sign = 1 if self.is_to_decode else -1
         halls = self.decodes_by_hall.copy()
         for candidate in choice.chosen:
--- a/tests/systems/test_stage_balance.py
+++ b/tests/systems/test_stage_balance.py
@@ -6,18 +6,23 @@
 CAPACITY = EngineCapacity(prefill_tokens_per_s=30_000.0, kv_tokens=40_000, slots=64)
 LONG = RequestAverages(prompt_tokens=9_100, output_tokens=800, output_token_s=0.0033)
 SMALL_ENGINES = {"prefill_tokens_per_s": 33_000.0, "kv_tokens": 26_000, "slots": 16}
-"""Engines of 26,000 tokens under prompts of 9,100 in the mean, as seen at a service of 70."""
+"""Engines with 26,000 tokens of KV memory, under prompts of 9,100 tokens on average, as in a
+service of 70 workers."""
 
 
-def test_prefill_workers_keep_time_to_read_long_prompts_within_the_target():
-    """With three of fifteen, busy to 0.98, a tenth of the prompts were given up after 640 ms."""
+def test_long_prompts_get_enough_prefill_workers_for_the_target():
+    """Guards against prefill workers that have no time left for the wait.
+
+    With three of fifteen workers, at a utilization of 0.98, a tenth of the prompts were given up
+    after 640 ms.
+    """
     fixed = best_split(15, LONG, EngineCapacity(**SMALL_ENGINES))
     by_target = best_split(15, LONG, EngineCapacity(**SMALL_ENGINES, prefill_limit_s=0.55))
     assert by_target.prefill_workers == fixed.prefill_workers + 1
     assert by_target.requests_per_s > 0.85 * fixed.requests_per_s
 
 
-def test_where_prompts_are_read_quickly_the_target_changes_nothing():
+def test_the_target_changes_nothing_where_prefill_is_fast():
     quick = RequestAverages(prompt_tokens=3_000, output_tokens=800, output_token_s=0.004)
     for workers in (5, 9, 70):
         without = best_split(workers, quick, EngineCapacity(**SMALL_ENGINES))
@@ -28,7 +33,7 @@
 
 
 def demand(*, prompt, output, asks=40, ended=10):
-    """Asks of one size, and streams that took 5 ms for each token."""
+    """Return the demand of requests of one size, whose streams took 5 ms per token."""
     return DemandCounts(
         asks=asks,
         prompt_tokens=asks * prompt,
@@ -62,18 +67,18 @@
     return [(change.worker.id, change.stage) for change in wanted]
 
 
-def test_nothing_is_ordered_without_need():
+def test_a_good_split_stays():
     assert changes(beliefs(2, 3), BALANCED) == []
     assert changes(beliefs(1, 4), LONG_ANSWERS) == []
 
 
-def test_nothing_is_ordered_on_little_evidence():
+def test_few_requests_or_ended_streams_change_nothing():
     assert changes(beliefs(2, 3), demand(prompt=3000, output=600, asks=7)) == []
     assert changes(beliefs(2, 3), demand(prompt=3000, output=600, ended=2)) == []
     assert changes(beliefs(2, 3), DemandCounts()) == []
 
 
-def test_long_answers_take_an_idle_prefill_worker():
+def test_long_answers_turn_an_idle_prefill_worker_to_decode():
     found = beliefs(2, 2)
     found[0].tokens_in_flight = 500
     assert changes(found, LONG_ANSWERS) == [("prefill-1", Stage.DECODE)]
@@ -83,7 +88,7 @@
     assert changes(beliefs(2, 2), demand(prompt=12_000, output=200)) == []
 
 
-def test_long_prompts_take_an_idle_decode_worker():
+def test_long_prompts_turn_an_idle_decode_worker_to_prefill():
     found = beliefs(1, 4)
     for belief in found[1:4]:
         belief.tokens_in_flight = 500
@@ -99,7 +104,7 @@
     assert changes(beliefs(1, 1), LONG_PROMPTS) == []
 
 
-def test_too_many_prefill_workers_are_put_right_without_waiting_for_refusals():
+def test_a_surplus_of_prefill_workers_is_corrected_before_any_refusal():
     assert changes(beliefs(2, 1), LONG_ANSWERS) == [("prefill-0", Stage.DECODE)]
 
 
@@ -109,45 +114,45 @@
     assert changes(beliefs(0, 1), LONG_PROMPTS) == []
 
 
-def test_draining_workers_are_given_no_orders():
+def test_draining_workers_get_no_orders():
     assert changes(beliefs(2, 0, WorkerState.DRAINING), LONG_ANSWERS) == []
 
 
-def test_an_order_on_its_way_counts_as_carried_out():
+def test_a_pending_order_counts_as_carried_out():
     pending_stages = {"prefill-0": Stage.DECODE}
     assert changes(beliefs(2, 2), LONG_ANSWERS, pending_stages=pending_stages) == []
 
 
-def test_a_large_fleet_changes_several_at_once_but_half_of_its_prefill_workers_at_most():
+def test_at_most_half_of_the_prefill_workers_change_at_once():
     wanted = changes(beliefs(30, 15), LONG_ANSWERS)
     assert len(wanted) == 15
     assert {stage for _, stage in wanted} == {Stage.DECODE}
 
 
-def test_few_decode_workers_are_taken_from_their_streams_at_once():
+def test_at_most_a_tenth_of_the_decode_workers_change_at_once():
     wanted = changes(beliefs(2, 43), LONG_PROMPTS)
     assert len(wanted) == 4
     assert {stage for _, stage in wanted} == {Stage.PREFILL}
 
 
-def test_halls_without_decode_workers_get_them_first():
+def test_a_hall_without_decode_workers_gets_one_first():
     found = beliefs(3, 0, zones=("a", "b", "c")) + beliefs(0, 3, zones=("a", "a", "b"))
     assert changes(found, LONG_ANSWERS)[:1] == [("prefill-2", Stage.DECODE)]
 
 
-def test_demand_is_of_the_last_seconds():
-    lately = RecentDemand()
+def test_demand_covers_the_last_seconds():
+    recent = RecentDemand()
     for second in range(4):
-        lately.note_ask(float(second), prompt_tokens=100, output_tokens=20)
-    lately.note_ended(4.0, output_tokens=20, seconds=0.5)
-    found = lately.counts(4.0)
+        recent.note_ask(float(second), prompt_tokens=100, output_tokens=20)
+    recent.note_ended(4.0, output_tokens=20, seconds=0.5)
+    found = recent.counts(4.0)
     assert (found.asks, found.prompt_tokens, found.output_tokens) == (4, 400, 80)
     assert (found.ended, found.ended_tokens, found.ended_s) == (1, 20, 0.5)
-    assert lately.counts(60.0) == DemandCounts()
+    assert recent.counts(60.0) == DemandCounts()
 
 
 def test_the_latest_prefill_calls_are_kept():
-    lately = RecentDemand()
+    recent = RecentDemand()
     for number in range(100):
-        lately.note_prefill(number, 0.1)
-    assert [sample.tokens for sample in lately.prefills] == list(range(68, 100))
+        recent.note_prefill(number, 0.1)
+    assert [sample.tokens for sample in recent.prefills] == list(range(68, 100))
--- a/tests/systems/test_stage_headroom.py
+++ b/tests/systems/test_stage_headroom.py
@@ -1,4 +1,4 @@
-"""Stages by speed and demand: prefill workers keep time, and changes are few."""
+"""Stage planning by speed and demand: prefill workers keep headroom, and changes are rare."""
 
 import math
 import random
@@ -26,11 +26,11 @@
 )
 EVEN = (1.0,)
 UNEVEN = (math.exp(-0.5), 1.0, math.exp(0.5))
-"""0.6, 1 and 1.6 of the usual time, at the steps to which the model rounds."""
+"""0.6, 1 and 1.6 times the usual time, at the steps to which the model rounds."""
 
 
 class Paces:
-    """The same pace for all kinds of work of an engine."""
+    """Gives an engine the same pace for all kinds of work."""
 
     def __init__(self, factor_by_id):
         self.factor_by_id = factor_by_id
@@ -41,7 +41,7 @@
 
 
 class Service:
-    """Engines with their paces; changes ordered are carried out when told."""
+    """Engines with their paces; the test carries out ordered changes."""
 
     def __init__(self, prefills, decodes, *, factors=EVEN, zones=("z",)):
         self.table = WorkerTable()
@@ -61,7 +61,7 @@
         return [b for b in self.table.beliefs_by_id.values() if b.worker.id not in without]
 
     def speed(self, stage, *, without=()):
-        """The summed speed of a stage, changes ordered not counted."""
+        """Return the summed speed of a stage without pending changes."""
         return sum(
             1.0 / self.paces.factor_by_id[belief.worker.id]
             for belief in self.beliefs(without=without)
@@ -82,7 +82,7 @@
 
 
 def demand(rate, *, prompt=5_200, output=600, stream_s=3.5, ended=50):
-    """What a window shows at a rate of prompts a second; 5,500 tokens are held by default."""
+    """Return the demand of a window at some prompts per second; 5,500 tokens each by default."""
     asks = round(rate * DEMAND_WINDOW_S)
     return DemandCounts(
         asks=asks,
@@ -98,53 +98,55 @@
     return rate * (TIMING.overhead_s + prompt / TIMING.tokens_per_s) / speed
 
 
-CALM = demand(40.0)
+MODERATE = demand(40.0)
 
 
 @pytest.mark.parametrize("factors", [EVEN, UNEVEN])
 @pytest.mark.parametrize("rate", [1.0, 20.0, 40.0])
-def test_a_calm_load_orders_nothing(rate, factors):
-    """Guards against the change of 14 of 16 prefill workers while no memory was short."""
+def test_a_moderate_load_orders_nothing(rate, factors):
+    """Guards against 14 of 16 prefill workers changing while no memory was short."""
     assert Service(16, 29, factors=factors).plan(demand(rate)) == []
 
 
-def test_the_fixed_time_of_a_prefill_call_counts():
-    """Without it 8 prefill workers seem 0.47 used and stay; they are 0.94 used."""
-    changes = Service(8, 37).plan(CALM)
+def test_the_overhead_of_a_prefill_call_counts():
+    """Without the overhead, 8 prefill workers seem utilized to 0.47 and stay; they are at 0.94."""
+    changes = Service(8, 37).plan(MODERATE)
     assert changes and {change.stage for change in changes} == {Stage.PREFILL}
-    unaware = PrefillTiming(overhead_s=0.0, tokens_per_s=TIMING.tokens_per_s)
-    assert Service(8, 37).plan(CALM, timing=unaware) == []
+    no_overhead = PrefillTiming(overhead_s=0.0, tokens_per_s=TIMING.tokens_per_s)
+    assert Service(8, 37).plan(MODERATE, timing=no_overhead) == []
 
 
 def test_a_surge_to_twice_the_load_gets_prefill_workers():
-    """Guards against a split that the mean over all times settles, whatever is asked now."""
+    """Guards against a split that follows the long-term mean instead of the present demand."""
     service = Service(10, 35)
     changes = service.plan(demand(80.0))
     assert changes and {change.stage for change in changes} == {Stage.PREFILL}
     assert changes[0].reason.startswith("10+35 are 1.49+")
 
 
-def test_a_surge_that_is_short_of_memory_takes_no_decode_workers():
-    """Prompts that get no memory are never read: prefill workers made of decode workers would
-    idle, and less would be served."""
+def test_a_surge_without_free_memory_takes_no_decode_workers():
+    """Guards against prefill workers that idle because their prompts get no decode memory.
+
+    With fewer decode workers, less would be served.
+    """
     assert not Service(16, 29).plan(demand(80.0))
 
 
-def test_asks_of_the_boxes_heard_are_scaled_to_the_fleet():
-    """A box hears a sample: half of the asks, from half of the boxes, are the same surge."""
-    whole, heard = Service(10, 35), Service(10, 35)
+def test_requests_of_the_known_boxes_are_scaled_to_the_fleet():
+    """Half of the requests, reported by half of the boxes, are the same surge."""
+    whole, sampled = Service(10, 35), Service(10, 35)
     ids = [change.worker.id for change in whole.plan(demand(80.0))]
-    assert [change.worker.id for change in heard.plan(demand(40.0), scale=2.0)] == ids
+    assert [change.worker.id for change in sampled.plan(demand(40.0), scale=2.0)] == ids
 
 
-def test_refused_asks_count_as_demand():
-    """A surge that is refused is still asked for; granted streams alone would hide it."""
+def test_refused_requests_count_as_demand():
+    """Guards against a surge that is hidden because only admitted streams are counted."""
     counts = demand(80.0)
     assert counts.granted == 0 and Service(10, 35).plan(counts)
 
 
-def test_long_prompts_and_then_long_answers():
-    """Guards against a split that stays with the load of before."""
+def test_the_split_follows_long_prompts_and_then_long_answers():
+    """Guards against a split that stays with the previous load."""
     service = Service(8, 37, factors=UNEVEN)
     long_prompts = demand(30.0, prompt=16_000, output=60, stream_s=0.4)
     changes = service.plan(long_prompts)
@@ -157,8 +159,8 @@
     assert changes and {change.stage for change in changes} == {Stage.DECODE}
 
 
-def test_the_engines_that_fit_the_need_change():
-    """Slow engines that change are missed for as long as fast ones, and gain less."""
+def test_fast_engines_change_to_a_stage_that_is_short():
+    """A slow engine is missing as long as a fast one during its change, and gains less."""
     service = Service(8, 37, factors=UNEVEN)
     changes = service.plan(demand(40.0, prompt=10_000, output=200, stream_s=1.0))
     factors = [service.paces.factor_by_id[change.worker.id] for change in changes]
@@ -166,7 +168,7 @@
 
 
 def test_unequal_engines_count_by_their_speed():
-    """Guards against twelve slow prefill workers being taken for twelve of the usual speed."""
+    """Guards against counting twelve slow prefill workers as twelve of the usual speed."""
     counts = demand(30.0)
     by_factor = {}
     for factor in UNEVEN:
@@ -184,12 +186,12 @@
     st.floats(0.1, 30.0),
 )
 @example(20, 10, EVEN, 60.0, 10.0)
-def test_prefill_workers_are_not_left_too_busy_and_some_stay(
+def test_prefill_workers_stay_below_their_limit_and_some_remain(
     prefills, decodes, factors, rate, stream_s
 ):
-    """Decode memory is not gained by prefill workers above their limit, now or meanwhile.
+    """A change must not push the remaining prefill workers above their limit, even meanwhile.
 
-    Also guards against a stage left empty, and against more than a quarter changed at once.
+    Also guards against an empty stage, and against more than a quarter changing at once.
     """
     service = Service(prefills, decodes, factors=factors)
     counts = demand(rate, stream_s=stream_s)
@@ -206,22 +208,22 @@
         )
 
 
-def test_long_streams_take_prefill_workers_that_have_time():
-    """Guards against headroom that is never given back: 16 prefill workers 0.09 used."""
+def test_long_streams_take_idle_prefill_workers():
+    """Guards against headroom that is never returned: 16 prefill workers utilized to 0.09."""
     changes = Service(16, 29).plan(demand(8.0, stream_s=30.0))
     assert changes and {change.stage for change in changes} == {Stage.DECODE}
 
 
-def test_orders_on_their_way_count_as_carried_out():
-    """Guards against a second batch for the same need while the first one is on its way."""
+def test_pending_orders_count_as_carried_out():
+    """Guards against a second batch of orders for the same need."""
     service = Service(16, 29)
     changes = service.plan(demand(80.0))
     service.pending_stages = {change.worker.id: change.stage for change in changes}
     assert service.plan(demand(80.0)) == []
 
 
-def test_a_quarter_counts_those_that_change_already():
-    """Guards against a quarter in each second: a change takes ten."""
+def test_the_limit_of_a_quarter_includes_workers_that_are_changing():
+    """Guards against a quarter changing every second while each change takes ten seconds."""
     service = Service(4, 41)
     counts = demand(60.0)
     first = service.plan(counts)
@@ -231,8 +233,8 @@
     assert len(first) + len(second) <= 41 // 4
 
 
-def test_workers_that_rest_drain_or_are_gone_get_no_order():
-    """A resting worker counts as it is; one that drains or is gone counts for nothing."""
+def test_resting_draining_and_gone_workers_get_no_order():
+    """A resting worker counts in its stage; a draining or gone worker does not count."""
     service = Service(10, 35)
     chosen = [change.worker.id for change in service.plan(demand(80.0))]
     service.pending_stages = {chosen[0]: Stage.DECODE}
@@ -243,19 +245,19 @@
 
 
 def test_a_service_without_decode_worker_gets_one_at_once():
-    """Nothing is served without one, and no stream ends then that a mean could be taken of."""
+    """Such a service serves nothing, and no stream ends that could give an average."""
     changes = Service(3, 0).plan(DemandCounts())
     assert [(change.stage, change.is_urgent) for change in changes] == [(Stage.DECODE, True)]
 
 
 def test_a_service_without_prefill_worker_gets_one_if_decode_workers_stay():
-    """Guards against a division by no speed, and against taking the last decode worker."""
-    assert [change.stage for change in Service(0, 3).plan(CALM)] == [Stage.PREFILL]
-    assert Service(0, 1).plan(CALM) == []
+    """Guards against a division by zero speed, and against taking the last decode worker."""
+    assert [change.stage for change in Service(0, 3).plan(MODERATE)] == [Stage.PREFILL]
+    assert Service(0, 1).plan(MODERATE) == []
 
 
-def test_few_asks_and_invalid_figures_order_nothing():
-    """Guards against orders by accident, or by a peer's or a worker's wrong figures."""
+def test_few_requests_and_invalid_figures_order_nothing():
+    """Guards against orders by chance, or because of wrong figures from a peer or a worker."""
     assert Service(1, 44).plan(demand(0.7)) == []
     assert Service(1, 44).plan(demand(80.0, ended=2)) == []
     for scale in (math.nan, math.inf):
@@ -267,11 +269,11 @@
         assert Service(1, 44).plan(demand(80.0), timing=broken) == []
     service = Service(16, 29)
     service.paces.factor_by_id = {f"e{n:02}": math.nan for n in range(45)}
-    assert service.plan(CALM) == []
+    assert service.plan(MODERATE) == []
 
 
-def test_halls_that_are_short_of_decode_workers_get_them_among_like_engines():
-    """Guards against orders that move all decode workers into one hall."""
+def test_among_similar_engines_those_in_a_hall_short_of_decode_workers_change():
+    """Guards against orders that gather all decode workers in one hall."""
     service = Service(8, 0, zones=("a", "b"))
     for number in range(8, 28):
         service.put(f"e{number:02}", Stage.DECODE, zone="a")
@@ -283,7 +285,7 @@
 speeds = st.integers(-9, 9).map(lambda step: math.exp(step / 10.0))
 
 
-def search_of(donor_speeds, receiver_speeds, donor_work, receiver_work):
+def make_search(donor_speeds, receiver_speeds, donor_work, receiver_work):
     return StageSearch(
         candidates=[
             Candidate(id=str(number), hall="z", tokens=0, speed_lost=speed, speed_gained=speed)
@@ -305,25 +307,28 @@
     st.integers(1, 7),
 )
 @settings(max_examples=300, deadline=None)
-def test_greedy_is_no_better_than_exact_and_never_far_from_it(
+def test_greedy_search_stays_close_to_exact_search(
     donor_speeds, receiver_speeds, donor_work, receiver_work, max_count
 ):
-    """Above 12 engines the choice is greedy: it must not miss what exact finds."""
-    search = search_of(donor_speeds, receiver_speeds, donor_work, receiver_work)
+    """The greedy search, used above 12 engines, stays close to the best choice.
+
+    It may exceed the lowest overload by a quarter at most.
+    """
+    search = make_search(donor_speeds, receiver_speeds, donor_work, receiver_work)
     max_count = min(max_count, len(donor_speeds) - 1)
     exact, greedy = search._search_exact(max_count), search._search_greedy(max_count)
     assert len(greedy.chosen) <= max_count and search._fits(greedy)
     assert search.overload(exact) <= search.overload(greedy) <= 1.25 * search.overload(exact)
 
 
-def test_greedy_mostly_finds_what_exact_finds():
-    """Guards against a greedy choice that is worse as a rule, within its bound."""
+def test_greedy_search_mostly_equals_exact_search():
+    """Guards against a greedy search that is usually worse, though within its bound."""
     rng = random.Random(7)
     ratios = []
     for _ in range(500):
         donor_speeds = [math.exp(rng.randint(-9, 9) / 10.0) for _ in range(rng.randint(2, 8))]
         receiver_speeds = [math.exp(rng.randint(-9, 9) / 10.0) for _ in range(rng.randint(1, 4))]
-        search = search_of(
+        search = make_search(
             donor_speeds, receiver_speeds, rng.uniform(0.1, 8.0), rng.uniform(0.1, 8.0)
         )
         max_count = rng.randint(1, len(donor_speeds) - 1)
@@ -350,10 +355,10 @@
 @given(steps, st.sampled_from([EVEN, UNEVEN]), st.integers(2, 10))
 @settings(max_examples=200, deadline=None)
 def test_engines_are_not_ordered_back_and_forth(loads, factors, prefills):
-    """Random demand, and crashes of several engines at once that are soon over.
+    """Random demand, and crashes of several engines at once that recover soon.
 
-    No engine is ordered twice within the time of two changes, unless the need has turned by a
-    third, or no decode worker is left.
+    No engine gets two orders within twice the duration of a change, unless the load ratio has
+    shifted by a third or no decode worker is left.
     """
     service = Service(prefills, 12 - prefills, factors=factors)
     last_by_id, done_at_by_id, now = {}, {}, 0.0
@@ -390,8 +395,8 @@
                 last_by_id[worker_id] = (until, change.stage, prefill)
 
 
-def test_a_crash_of_several_engines_is_not_followed_by_orders_back():
-    """The need is the same when they are back: the orders stand until their effect is seen."""
+def test_recovery_after_a_crash_does_not_reverse_orders():
+    """The load ratio is the same after recovery, so the orders stand until their effect shows."""
     service = Service(16, 29)
     counts = demand(45.0)
     crashed = {f"e{number:02}" for number in range(8)}
@@ -405,8 +410,8 @@
         assert not any(change.stage is Stage.DECODE for change in later)
 
 
-def test_a_held_change_is_undone_once_the_need_has_turned_by_a_third():
-    """Guards against a hold that keeps a wrong split under a load that did change."""
+def test_a_recent_change_is_undone_once_the_load_ratio_shifts_by_a_third():
+    """Guards against a hold that keeps a wrong split after the load has changed."""
     service = Service(4, 8)
     service.plan(demand(10.0, stream_s=3.5))
     service.planner.note_ordered("e00", Stage.PREFILL, 0.0)
