--- a/src/croftchute/systems/predicted_end.py
+++ b/src/croftchute/systems/predicted_end.py
@@ -1,8 +1,8 @@
-"""Which worker would be done first with one more request, where workers tell their pace.
+"""Choose the worker that would complete one more request first, where workers report their pace.
 
-The predicted end is in seconds from now: the wait for what is ahead, the work itself, and what is
-held against the worker. Of plain and decode workers one is drawn at random, the sooner ones more
-often: all boxes decide by the same news, some hundred ms old, and would else choose the same one.
+The predicted end is in seconds from now: the wait, the work itself, and penalties. A plain or
+decode worker is drawn at random, and one with an earlier end is more likely. All boxes decide by
+the same reports, some hundred ms old, and would otherwise choose the same worker.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 
 
 class PlacementMode(StrEnum):
-    """What a worker is chosen by; ``auto`` is by end where workers tell their pace."""
+    """How a worker is chosen; ``auto`` is by predicted end where workers report their pace."""
 
     AUTO = "auto"
     BY_COST = "by_cost"
@@ -34,40 +34,43 @@
 
 
 OTHER_HALL_PENALTY_S = 0.01
-"""Seconds added for a worker in another hall: some round trips between halls."""
+"""Time added for a worker in another hall: some round trips between halls."""
 
 OVERDUE_MULTIPLE = 3.0
-"""Usual times after which an open plain call is overdue: slow workers mostly answer within them."""
+"""Multiple of the usual time after which an open plain call is overdue. Slow workers mostly
+answer within it."""
 
 DRAW_EXPONENT = 3.0
-"""Power of 1 / predicted end by which a worker is drawn: at twice the time an eighth as often, and
-still often enough that a worker which is quick again is found."""
+"""Exponent of 1 / predicted end in the probability of a draw. A worker with twice the time is
+drawn an eighth as often, which still finds a worker that has recovered."""
 
 MAX_SHARE_OVER_SPEED = 2.0
-"""Most that a worker's pace has it drawn, over its share by speed. The cube alone gives one quick
-worker among many slow ones three times that, and more once it slows down."""
+"""Limit on the share of draws that a pace gives a worker, as a multiple of its share by speed.
+Without the limit, one fast worker among many slow ones would get three times that, and more once
+it slows down."""
 
 MIN_WORK_S = 1e-6
-"""Least seconds that work is taken to need: keeps the weights finite."""
+"""Least time assumed for work; keeps the weights finite."""
 
 SUSPECT_FAILURE_COST = 0.1
-"""Failure cost in full workers from which a worker is drawn only if its end is the soonest: one
-failure of this box counts so for 6.6 s."""
+"""Failure cost, in full workers, from which a worker is drawn only if its end is the earliest.
+One failure at this box counts this much for 6.6 s."""
 
 PREFILL_CANDIDATES = 3
-"""Prefill workers compared for one prompt: more find hardly better ones, and cost a probe each."""
+"""Prefill workers that are compared for one prompt. More hardly improve the choice, and each
+costs a probe."""
 
 DEFAULT_STREAM_S = 2.0
-"""Seconds that a stream is taken to last until one has ended."""
+"""Duration of a stream that is assumed until one has ended."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class UsualTimes:
-    """What is usual at the workers of a service, in seconds at pace 1; 0 if it is not known.
+    """Usual times at the workers of a service, in seconds at pace 1; 0 if unknown.
 
-    ``answer_s`` is for a plain answer, ``stream_s`` for a stream, ``token_gap_s`` between two parts
-    of one, ``prompt_s`` for a mean prompt, ``full_queue_s`` for the prompts that count as a full
-    prefill worker. ``at`` is when they were worked out.
+    ``answer_s`` is for a plain response, ``stream_s`` for a stream, ``token_gap_s`` for the gap
+    between two parts of a stream, ``prompt_s`` for a prompt of mean length, and ``full_queue_s``
+    for the prompts that count as a full prefill worker. ``at`` is the time of the calculation.
     """
 
     answer_s: float = 0.0
@@ -79,20 +82,20 @@
 
 
 def failure_cost(belief: WorkerBelief, around: Surroundings, now: float) -> float:
-    """What is held against a worker here and at peers, in full workers as in choices by cost."""
+    """Return the cost of recent failures here and at peers, in full workers."""
     peer_failures = min(MAX_PEER_FAILURES, around.peers.failures(belief.worker.id, now))
     return FAILURE_COST * belief.failure_score(now) + PEER_FAILURE_COST * peer_failures
 
 
 def is_suspect(belief: WorkerBelief, around: Surroundings, now: float) -> bool:
-    """Whether enough is held against a worker that others are tried first."""
+    """Return whether a worker failed so much that others are tried first."""
     return failure_cost(belief, around, now) >= SUSPECT_FAILURE_COST
 
 
 def predict_plain_end(
     belief: WorkerBelief, *, usual_s: float, around: Surroundings, pace: PaceEstimate, now: float
 ) -> PredictedEnd:
-    """The end of a request at a plain worker; ``usual_s`` is the usual time of an answer."""
+    """Predict the end of a request at a plain worker, given the usual time of a response."""
     slots = max(1, belief.worker.slots)
     in_flight = belief.in_flight + others_at(belief, around, now)
     ahead = max(0.0, in_flight + 1 - slots)
@@ -118,10 +121,10 @@
     pace: PaceEstimate,
     now: float,
 ) -> PredictedEnd:
-    """The end of a stream at a decode worker.
+    """Predict the end of a stream at a decode worker.
 
-    What is open there counts as a wait, in full workers of a usual stream each: an engine that is
-    likely full refuses the hold, and a request asks several for one.
+    Open streams and held tokens count as a wait: a full worker counts as one usual stream. An
+    engine that is probably full refuses the hold, and a request asks several engines for one hold.
     """
     stream_s = usual.stream_s or DEFAULT_STREAM_S
     peer_in_flight = others_at(belief, around, now)
@@ -152,10 +155,11 @@
     pace: PaceEstimate,
     now: float,
 ) -> PredictedEnd:
-    """The end of a prompt at a prefill worker.
+    """Predict the end of a prompt at a prefill worker.
 
-    The prompts there are those that the worker told just now, and this box's own. Where it told
-    nothing lately, what calls waited counts if it is more: ``reported_wait_s``, here and at peers.
+    The queue holds the prompts that the worker reported just now, and those of this box. Without a
+    recent report, an observed wait counts if it is longer: that of this box, or ``reported_wait_s``
+    from peers.
     """
     own = len(belief.queue.open_calls_by_request)
     prompts = own + belief.others_running(now)
@@ -187,10 +191,10 @@
     count: int,
     rng: random.Random,
 ) -> list[WorkerBelief]:
-    """Some different candidates at random, in proportion to their speeds by worker id.
+    """Draw some different candidates at random, in proportion to their speeds by worker id.
 
-    Each gets a random key whose order is that of draws without replacement (Efraimidis and
-    Spirakis 2006).
+    Each candidate gets a random key. Their order is that of draws without replacement (Efraimidis
+    and Spirakis 2006).
     """
     keyed = [(rng.expovariate(speeds[b.worker.id]), n, b) for n, b in enumerate(candidates)]
     return [belief for _, _, belief in sorted(keyed, key=lambda entry: entry[:2])[:count]]
@@ -199,13 +203,13 @@
 def exclude_suspects(
     candidates: Sequence[WorkerBelief], *, around: Surroundings, now: float, least: int
 ) -> list[WorkerBelief]:
-    """Candidates against which little is held; all of them if fewer than ``least`` are left."""
+    """Return the candidates that are not suspect, or all if fewer than ``least`` are left."""
     trusted = [b for b in candidates if not is_suspect(b, around, now)]
     return trusted if len(trusted) >= least else list(candidates)
 
 
 def earliest_end(ends: Mapping[str, PredictedEnd]) -> str:
-    """The worker with the smallest predicted end; of equal ones the first.
+    """Return the worker with the earliest predicted end; the first of equal ones.
 
     >>> earliest_end({"a": PredictedEnd(wait_s=1, work_s=1), "b": PredictedEnd(wait_s=0, work_s=1)})
     'b'
@@ -214,10 +218,10 @@
 
 
 def draw_by_end(ends: Mapping[str, PredictedEnd], suspects: set[str], rng: random.Random) -> str:
-    """One worker at random, the sooner ones more often.
+    """Draw one worker at random; an earlier end makes a worker more likely.
 
-    A doubtful one takes part only if its end is the soonest, the failures included: where nothing
-    is held against others it gets nothing, as in choices by cost.
+    A suspect worker takes part only if its end is the earliest, failures included. As in choices by
+    cost, it gets nothing while other workers are free of failures.
     """
     soonest = earliest_end(ends)
     left = [w for w in ends if w not in suspects or w == soonest]
@@ -225,10 +229,10 @@
 
 
 def draw_weights(ends: Sequence[PredictedEnd]) -> list[float]:
-    """The parts of all draws that workers get; they add up to 1.
+    """Return the share of draws of each worker; the shares add up to 1.
 
-    The pace is news that all boxes share, so what it gives a worker is held to a multiple of its
-    share by speed. Waits, overdue calls and failures only take from a worker.
+    All boxes share the same paces, so the share that a pace gives a worker is limited to a multiple
+    of its share by speed. Waits, overdue calls and failures can only lower a share.
 
     >>> ends = [PredictedEnd(wait_s=wait_s, work_s=1) for wait_s in (0, 1)]
     >>> [round(weight, 3) for weight in draw_weights(ends)]
@@ -252,9 +256,9 @@
 
 
 def _capped(parts: Sequence[float], limits: Sequence[float]) -> list[float]:
-    """Parts of 1 of which none is over its limit: what is cut off goes to the others.
+    """Limit each share; what is cut off goes to the other shares in proportion.
 
-    The limits add up to more than 1.
+    The limits must add up to more than 1.
     """
     capped: set[int] = set()
     while True:
--- a/src/croftchute/systems/worker_pace.py
+++ b/src/croftchute/systems/worker_pace.py
@@ -1,9 +1,9 @@
-"""How long work takes at each worker, over what is usual for its service.
+"""Estimate how long work takes at each worker, relative to the usual time of its service.
 
-Three sources are mixed by their age: what the worker told, which holds for a moment; what its
-answers showed, here and at peers; and the prior that it is as quick as others. As the first two
-age the prior comes back, so that a worker that was slow is tried again. What a worker tells counts
-less where its answers contradict it.
+Three sources are weighted by their age: the pace that the worker reported, which holds for a
+moment; the times of its responses, observed here and at peers; and the prior that it is as fast as
+others. As the first two age, the prior gains weight, so that a worker that was slow is tried again.
+A reported pace has less weight where the responses contradict it.
 """
 
 from __future__ import annotations
@@ -17,80 +17,82 @@
 from croftchute.tables.peers import WorkerPaceNotice
 
 MIN_PACE = 0.2
-"""Least time of work over the usual that is believed: none is five times quicker than most."""
+"""Lowest pace that is accepted: no worker is five times faster than most."""
 
 MAX_PACE = 10.0
-"""Most of it: a worker that is ten times slower is as good as away."""
+"""Highest pace that is accepted: a worker ten times slower than usual is practically
+unavailable."""
 
 REPORTED_HALF_LIFE_S = 0.3
-"""Seconds after which a told pace counts half: it changes many times a second."""
+"""Half-life of a reported pace, which changes many times a second."""
 
 REPORTED_WEIGHT = 6.0
-"""Weight of a pace told just now, in answers seen: it is the worker's own report."""
+"""Weight of a pace reported just now, in observed responses: the worker knows its own pace best."""
 
 OBSERVED_HALF_LIFE_S_BY_KIND = {WorkKind.ANSWER: 0.5, WorkKind.PREFILL: 8.0, WorkKind.TOKEN: 8.0}
-"""Seconds after which an answer counts half, by kind of work. Plain answers come many times a
-second, so that a worker that is quick again is found soon; prompts are few and dear."""
+"""Half-life of an observed response, by kind of work. Plain responses come many times a second,
+so that a recovered worker is noticed soon. Prompts are few and expensive."""
 
 MAX_OBSERVED_WEIGHT = 4.0
-"""Weight of all answers together at most: the newest show a change within a few."""
+"""Limit on the weight of all observed responses together, so that a few new ones show a change."""
 
 PEER_WEIGHT_SHARE = 0.5
-"""Weight of what peers saw, over what this box saw: their links are others."""
+"""Weight of an observation at a peer, relative to one at this box: peers use other links."""
 
 PRIOR_WEIGHT = 1.0
-"""Weight of the prior, in answers seen."""
+"""Weight of the prior, in observed responses."""
 
 MAX_REPORTED_PACE = 100.0
-"""Told pace over which, or under one over which, the figure is no pace: ten times what is believed
-still means a worker in trouble, more means another unit."""
+"""Range of valid reported paces: up to this value and down to its inverse. Ten times
+``MAX_PACE`` still means a worker in trouble; beyond that the figure is in another unit."""
 
 MAX_OBSERVED_RATIO = 10_000.0
-"""The same of times seen: an answer after the longest timeouts of 14 s is 2,800 times the usual of
-the quickest services, 5 ms."""
+"""The same range for observed times. A response after the longest timeouts of 14 s takes 2,800
+times the usual 5 ms of the fastest services."""
 
 REPORTED_MEAN_HALF_LIFE_S = 8.0
-"""Seconds after which the mean of told paces counts half, which work goes by that lasts longer than
-a told pace holds: some engines are slower than others for all of their lives."""
+"""Half-life of the mean of reported paces. Work that outlasts a single report uses this mean,
+because some engines are slower than others for as long as they live."""
 
 MAX_REPORTED_MEAN_WEIGHT = 1.0
-"""Weight of that mean at most, in answers seen: no more than the prior, so that a worker that was
-slow is more than half back at the prior 2 s after its last report."""
+"""Limit on the weight of that mean, in observed responses. It equals the prior, so that a worker
+that was slow is more than halfway back to the prior 2 s after its last report."""
 
 DUPLICATE_REPORT_S = 0.25
-"""Seconds by which a pace told by a peer must be newer to count again in the mean: the same word
-comes with each notice, every 0.5 s, and its age differs by the delay on the way."""
+"""A report from a peer counts again in the mean only if it is newer by this time. Notices repeat
+the same report every 0.5 s, and its age varies with the network delay."""
 
 FRESH_REPORT_S = 0.3
-"""Age up to which a told pace is compared with an answer: its half-life."""
+"""Age up to which a reported pace is compared with a response: its half-life."""
 
 USUAL_DEVIATION = math.log(2.0)
-"""Difference of the logarithms of told and seen paces that is usual: prompts differ by half, and
-some answers waited."""
+"""Usual difference between the logarithms of reported and observed pace. Prompts vary by half,
+and some responses include a wait."""
 
 TRUST_DECAY_RATE = 2.5
-"""How quickly a told pace loses weight with the difference beyond that: at a factor of five
-between told and seen a tenth of the weight is left."""
+"""Rate at which a reported pace loses weight with the deviation beyond the usual. At a factor of
+five between reported and observed pace, a tenth of the weight is left."""
 
 DEVIATION_HALF_LIFE_S = 8.0
-"""Seconds after which a contradiction counts half: some answers are seen in that time."""
+"""Half-life of a deviation; several responses are observed in that time."""
 
 REPORT_TTL_S = 10.0
-"""Seconds for which a worker counts as one that tells its pace: streams last for some."""
+"""Time for which a worker counts as one that reports its pace: streams last for some seconds."""
 
 RECORD_TTL_S = 60.0
-"""Seconds after which nothing is left of any figure."""
+"""Time without news after which the record of a worker is dropped; all weights have decayed by
+then."""
 
 MAX_NOTICES = 32
-"""Workers told of in one notice: bounds a datagram."""
+"""Most workers in one notice; bounds the size of a datagram."""
 
 MIN_NOTICE_WEIGHT = 0.1
-"""Weight under which peers are told nothing of what was seen."""
+"""Least weight of an observation that is sent to peers."""
 
 
 @dataclass(kw_only=True, slots=True)
 class _DecayingMean:
-    """A mean whose weight fades, of logarithms of paces or their differences."""
+    """Mean of logarithms of paces, or of their differences, whose weight decays."""
 
     half_life_s: float
     max_weight: float = MAX_OBSERVED_WEIGHT
@@ -99,13 +101,13 @@
     at: float = -math.inf
 
     def weight_at(self, now: float) -> float:
-        """What is left of the weight."""
+        """Return the remaining weight."""
         if self.weight <= 0.0:
             return 0.0
         return self.weight * 0.5 ** (max(0.0, now - self.at) / self.half_life_s)
 
     def add(self, value: float, weight: float, now: float) -> None:
-        """Take in one more figure."""
+        """Add a value to the mean."""
         left = self.weight_at(now)
         self.value = (left * self.value + weight * value) / (left + weight)
         self.weight = min(self.max_weight, left + weight)
@@ -114,7 +116,7 @@
 
 @dataclass(kw_only=True, slots=True)
 class _Report:
-    """The newest word of a worker, and when it was said."""
+    """The latest pace that a worker reported, and when."""
 
     log_pace: float = 0.0
     at: float = -math.inf
@@ -122,10 +124,10 @@
 
 @dataclass(kw_only=True, slots=True)
 class _WorkerRecord:
-    """What is known of one life of a worker.
+    """What is known about one life of a worker.
 
-    ``own_report`` is its word to this box alone, which peers are told; ``report`` may be from a
-    peer.
+    ``own_report`` is what the worker reported to this box, and is sent to peers; ``report`` may be
+    from a peer.
     """
 
     report: _Report = field(default_factory=_Report)
@@ -143,17 +145,20 @@
 
     @property
     def updated_at(self) -> float:
-        """When the newest figure of any source came."""
+        """Return the time of the newest figure from any source."""
         means = (*self.observed_by_kind.values(), *self.peer_by_kind.values())
         return max([self.report.at, *(mean.at for mean in means)])
 
     @property
     def last_observed(self) -> _DecayingMean | None:
-        """The mean of the kind of work that was seen last; a worker mostly does one kind."""
+        """Return the mean of the kind of work observed last.
+
+        A worker mostly does one kind of work.
+        """
         return max(self.observed_by_kind.values(), key=lambda mean: mean.at, default=None)
 
     def trust(self, now: float) -> float:
-        """The share of its weight that a told pace keeps, by how far answers contradicted it."""
+        """Return the share of its weight that a reported pace keeps after deviations."""
         weight = self.deviation.weight_at(now)
         deviation = abs(self.deviation.value) * weight / (PRIOR_WEIGHT + weight)
         return math.exp(-TRUST_DECAY_RATE * max(0.0, deviation - USUAL_DEVIATION))
@@ -161,12 +166,12 @@
 
 @dataclass(kw_only=True)
 class WorkerPaces:
-    """The paces of all workers by id of their lives; a new life begins at the prior."""
+    """Paces of all workers, by the id of their life; a new life starts at the prior."""
 
     _by_id: dict[str, _WorkerRecord] = field(default_factory=dict)
 
     def note_reported(self, worker_id: str, pace: float, now: float, *, age_s: float = 0.0) -> None:
-        """A worker said how long its work takes; an older word counts nothing."""
+        """Record a pace that a worker reported; an older report than the latest is ignored."""
         log_pace = _log_pace(pace, max_pace=MAX_REPORTED_PACE)
         if log_pace is None or not (0.0 <= age_s < REPORT_TTL_S):
             return
@@ -177,7 +182,7 @@
         self._apply_report(known, _Report(log_pace=log_pace, at=reported_at))
 
     def note_observed(self, worker_id: str, kind: WorkKind, ratio: float, now: float) -> None:
-        """Work took so many times as long as it usually does."""
+        """Record the time of some work, as a multiple of the usual time."""
         log_pace = _log_pace(ratio, max_pace=MAX_OBSERVED_RATIO)
         if log_pace is None:
             return
@@ -190,7 +195,10 @@
             known.deviation.add(log_pace - known.report.log_pace, 1.0, now)
 
     def apply_notice(self, notice: WorkerPaceNotice, kind: WorkKind, now: float) -> None:
-        """A peer told of a worker; the same answers are told again with every notice."""
+        """Apply the notice of a peer about a worker.
+
+        Each notice repeats earlier observations, so that its weight is limited.
+        """
         reported_log_pace = _log_pace(notice.told, max_pace=MAX_REPORTED_PACE)
         if reported_log_pace is not None and 0.0 <= notice.told_age_s < REPORT_TTL_S:
             known = self._by_id.setdefault(notice.worker, _WorkerRecord())
@@ -212,7 +220,10 @@
 
     @staticmethod
     def _apply_report(known: _WorkerRecord, report: _Report, *, min_newer_s: float = 0.0) -> None:
-        """Take in a told pace that is newer than what is known, by some seconds for the mean."""
+        """Apply a report that is newer than the known one.
+
+        It enters the mean only if it is newer by ``min_newer_s``.
+        """
         if report.at <= known.report.at:
             return
         known.report = report
@@ -220,7 +231,7 @@
             known.reported_mean.add(report.log_pace, 1.0, report.at)
 
     def estimate(self, worker_id: str, kind: WorkKind, now: float) -> PaceEstimate:
-        """The pace of a worker at a kind of work, by all sources."""
+        """Return the pace of a worker at a kind of work, from all sources."""
         known = self._by_id.get(worker_id)
         if known is None:
             return PaceEstimate(factor=1.0, source=PaceSource.PRIOR, age_s=math.inf)
@@ -249,28 +260,28 @@
         return PaceEstimate(factor=factor, source=source, age_s=age_s)
 
     def is_known(self, worker_id: str) -> bool:
-        """Whether any figure of a worker came lately."""
+        """Return whether there is a record of a worker."""
         return worker_id in self._by_id
 
     def reported_pace(self, worker_id: str, now: float) -> float | None:
-        """The pace that a worker told this box just now; None if it told none in the half-life."""
+        """Return the pace that a worker reported to this box within the half-life, or None."""
         known = self._by_id.get(worker_id)
         if known is None or now - known.own_report.at > REPORTED_HALF_LIFE_S:
             return None
         return math.exp(known.own_report.log_pace)
 
     def any_reported(self, worker_ids: Iterable[str], now: float) -> bool:
-        """Whether some of the workers told their pace lately."""
+        """Return whether any of the workers reported its pace recently."""
         return any(
             known is not None and now - known.report.at <= REPORT_TTL_S
             for known in (self._by_id.get(worker_id) for worker_id in worker_ids)
         )
 
     def notices(self, now: float) -> tuple[WorkerPaceNotice, ...]:
-        """What peers are told, of workers that tell their pace: what this box was told and saw.
+        """Return the notices for peers about workers that report their pace.
 
-        Those that this box heard of last come first. What peers told is not told on: a word would
-        come back and count again.
+        They hold what was reported to this box and what it observed, newest first. Reports and
+        observations of peers are not passed on: they would come back and count again.
         """
         self._expire_records(now)
         rows = [
@@ -284,24 +295,24 @@
         return tuple(notice for _, notice in newest)
 
     def _expire_records(self, now: float) -> None:
-        """Forget workers of which nothing was heard for long: their lives are over, or idle."""
+        """Drop records without recent figures: the worker is idle, or its life ended."""
         old = [key for key, known in self._by_id.items() if now - known.updated_at > RECORD_TTL_S]
         for worker_id in old:
             del self._by_id[worker_id]
 
     def forget(self, worker_id: str) -> None:
-        """A life of a worker is over."""
+        """Drop the record of a worker whose life has ended."""
         self._by_id.pop(worker_id, None)
 
 
 def _own_update_at(known: _WorkerRecord) -> float:
-    """When this box last heard of a worker by its answers."""
+    """Return when this box last got a report or a response from a worker."""
     observed = known.last_observed
     return max(known.own_report.at, observed.at if observed is not None else -math.inf)
 
 
 def _notice(worker_id: str, known: _WorkerRecord, now: float) -> WorkerPaceNotice | None:
-    """What peers are told of a worker; None if that is nothing."""
+    """Return the notice about a worker, or None if there is nothing to send."""
     report = known.own_report
     is_reported = now - report.at <= REPORT_TTL_S
     observed = known.last_observed
@@ -319,7 +330,7 @@
 
 
 def _log_pace(pace: float, *, max_pace: float) -> float | None:
-    """The logarithm of a pace, held within what is believed; None if it is none.
+    """Return the logarithm of a pace, limited to the accepted range; None if invalid.
 
     >>> [_log_pace(pace, max_pace=100.0) for pace in (-1.0, float("nan"), float("inf"), 1e9, 1.0)]
     [None, None, None, None, 0.0]
--- a/src/croftchute/tables/paces.py
+++ b/src/croftchute/tables/paces.py
@@ -1,4 +1,4 @@
-"""Rows about how long work takes at a worker, over what is usual for its service."""
+"""Paces of workers: how long work takes at a worker, relative to the usual time of its service."""
 
 from __future__ import annotations
 
@@ -9,7 +9,11 @@
 
 
 class WorkKind(StrEnum):
-    """The kinds of work whose times are told apart."""
+    """Kinds of work whose times are observed separately.
+
+    ``ANSWER`` is a whole plain response, ``PREFILL`` the prefill of a prompt, and ``TOKEN`` one
+    output token.
+    """
 
     ANSWER = "answer"
     PREFILL = "reading"
@@ -17,7 +21,11 @@
 
 
 class PaceSource(StrEnum):
-    """Where most of an estimate comes from."""
+    """The source with the largest weight in an estimate.
+
+    ``REPORTED`` is the worker itself, ``OBSERVED`` the responses at this box, ``PEERS`` the
+    responses at other boxes, and ``PRIOR`` the assumption of the usual pace.
+    """
 
     REPORTED = "told"
     OBSERVED = "seen"
@@ -27,9 +35,9 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class PaceEstimate:
-    """How long work takes at a worker over the usual: 2.0 takes twice as long.
+    """The time of work at a worker, relative to the usual time: 2.0 takes twice as long.
 
-    ``age_s`` is how old the newest news behind it are; infinite if there are none.
+    ``age_s`` is the age of the newest report or observation; infinite if there is none.
     """
 
     factor: float
@@ -38,7 +46,7 @@
 
     @property
     def speed(self) -> float:
-        """Work done in the time of one piece of usual work.
+        """Return the work done in the time of one usual piece of work.
 
         >>> PaceEstimate(factor=2.0, source=PaceSource.REPORTED, age_s=0.1).speed
         0.5
@@ -47,23 +55,23 @@
 
 
 class PaceView(Protocol):
-    """What is believed of the paces of workers."""
+    """Read access to the estimated paces of workers."""
 
     def estimate(self, worker_id: str, kind: WorkKind, now: float) -> PaceEstimate:
-        """The pace of one worker at one kind of work."""
+        """Return the pace of one worker at one kind of work."""
         ...
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class PredictedEnd:
-    """When a worker would be done with one more request, in seconds from now, by part.
-
-    ``wait_s`` is for the requests ahead of it and ``work_s`` for the request itself, both at the
-    worker's pace. ``overdue_s`` is how long this box's open calls there are late, ``gap_penalty_s``
-    the price of pauses that are too long, ``hall_penalty_s`` that of another hall,
-    ``failure_penalty_s`` that of the failures held against the worker. ``pace`` is 1.0 for the
-    usual time of work; ``pace_age_s`` is how old the news behind it are, infinite if there are
-    none.
+    """When a worker would complete one more request, in seconds from now, by part.
+
+    ``wait_s`` is for the requests ahead and ``work_s`` for the request itself, both at the pace of
+    the worker. ``overdue_s`` is how late the open calls of this box are there. The penalties only
+    rank workers: ``gap_penalty_s`` for too long gaps between tokens and ``failure_penalty_s`` for
+    recent failures. ``hall_penalty_s`` is the extra time of another hall. ``pace`` is 1.0 for the
+    usual time of work, and ``pace_age_s`` is the age of the newest report or observation behind it;
+    infinite if there is none.
     """
 
     wait_s: float
@@ -78,7 +86,7 @@
 
     @property
     def completion_s(self) -> float:
-        """Seconds until the work is done, without what only ranks the workers.
+        """Return the seconds until completion, without the parts that only rank workers.
 
         >>> end = PredictedEnd(wait_s=0.1, work_s=0.2, hall_penalty_s=0.01, failure_penalty_s=1.0)
         >>> end.completion_s
@@ -88,7 +96,7 @@
 
     @property
     def total_s(self) -> float:
-        """What workers are compared by."""
+        """Return the time by which workers are compared."""
         return (
             self.wait_s
             + self.work_s
@@ -99,7 +107,7 @@
         )
 
     def log_fields(self) -> dict[str, Any]:
-        """The parts for the log, in ms; an age that is not known is left out as None."""
+        """Return the parts for the log, in ms; an unknown age is None, which the log leaves out."""
         age_s = self.pace_age_s
         return {
             "end_ms": _ms(self.total_s),
--- a/tests/systems/pace_simulation.py
+++ b/tests/systems/pace_simulation.py
@@ -1,7 +1,7 @@
-"""Boxes that choose among workers by pace, in virtual time and without a network.
+"""Simulate boxes that choose among workers by pace, in virtual time and without a network.
 
-Three boxes draw a worker for each request at random, with probability in proportion to its speed to
-the power of 3, and tell each other their notices every 0.5 s. One worker is slow for a while.
+Three boxes draw a worker for each request at random, with a probability in proportion to its speed
+to the power of 3. They exchange notices every 0.5 s. One worker is slow for a while.
 """
 
 import heapq
@@ -24,7 +24,8 @@
 class PaceSimulation:
     """Requests to three boxes, in virtual time.
 
-    ``reports_pace`` is whether responses report a pace; ``kind`` is the work that requests are.
+    ``reports_pace`` is whether responses report a pace; ``kind`` is the kind of work of the
+    requests.
     """
 
     seed: int
@@ -56,7 +57,7 @@
         heapq.heappush(self.events, (when, self.rng.random(), action, args))
 
     def share(self, start, end):
-        """The slow worker's part of the requests that arrive between two times."""
+        """Return the share of the slow worker among the requests between two times."""
         chosen = [worker for when, worker in self.chosen if start <= when < end]
         return chosen.count(SLOW_WORKER) / len(chosen)
 
--- a/tests/systems/test_predicted_end.py
+++ b/tests/systems/test_predicted_end.py
@@ -1,4 +1,4 @@
-"""Predicted ends of requests at workers, and that boxes with the same news do not herd."""
+"""Predicted ends of requests at workers; boxes with the same reports do not herd."""
 
 import heapq
 import math
@@ -32,8 +32,8 @@
 USUAL = UsualTimes(answer_s=0.1, stream_s=5.0, token_gap_s=0.02, prompt_s=0.2, full_queue_s=0.5)
 
 
-class PeersThatFailed:
-    """Peers that hold so many failures against each worker."""
+class PeersWithFailures:
+    """Peers that report a number of failures of each worker."""
 
     def __init__(self, failures):
         self._failures = failures
@@ -87,11 +87,11 @@
     return PredictedEnd(wait_s=wait_s, work_s=seconds)
 
 
-# The parts of an end.
+# The parts of a predicted end.
 
 
-def test_a_plain_request_waits_for_what_is_beyond_the_slots_at_the_pace():
-    """Guards against waits that ignore the pace, or that begin before the slots are taken."""
+def test_a_plain_request_waits_for_requests_beyond_the_slots():
+    """Guards against waits that ignore the pace, or that start before all slots are taken."""
     known = belief()
     assert plain(known, factor=2.0).total_s == pytest.approx(0.2)
     known.in_flight = 3
@@ -100,8 +100,8 @@
     assert (found.pace, found.pace_source, found.pace_age_s) == (2.0, PaceSource.REPORTED, 0.1)
 
 
-def test_a_plain_worker_that_hangs_costs_more_before_its_first_call_times_out():
-    """Guards against calls of a hanging worker until a time-out of 400 ms to 2 s."""
+def test_a_hanging_plain_worker_is_overdue_before_its_first_timeout():
+    """Guards against calls to a hanging worker until a timeout of 400 ms to 2 s."""
     known = belief()
     known.sent_at_by_call[object()] = 9.5
     known.sent_at_by_call[object()] = 9.9
@@ -110,15 +110,15 @@
     assert plain(known, now=11.0).overdue_s == pytest.approx(1.2)
 
 
-def test_a_decode_worker_whose_pauses_would_be_too_long_costs_the_target():
-    """Guards against streams at a worker so slow that its pauses alone make them late."""
+def test_too_long_token_gaps_cost_the_target_at_a_decode_worker():
+    """Guards against streams at a worker so slow that its token gaps alone make them late."""
     known = belief(stage=Stage.DECODE)
     assert decode(known, factor=4.0, target_gap_s=0.1).gap_penalty_s == 0.0
     assert decode(known, factor=6.0, target_gap_s=0.1).gap_penalty_s == 0.9
     assert decode(known, factor=6.0, target_gap_s=0.0).gap_penalty_s == 0.0
 
 
-def test_what_a_decode_worker_holds_counts_in_full_workers():
+def test_the_load_of_a_decode_worker_counts_in_full_workers():
     """Guards against asking engines for holds that are known to be full."""
     known = belief(slots=8, stage=Stage.DECODE)
     known.in_flight, known.tokens_in_flight = 2, 5_000
@@ -126,8 +126,8 @@
     assert decode(known, around=around).wait_s == pytest.approx(0.5 * 5.0)
 
 
-def test_a_prompt_waits_for_those_that_a_fresh_probe_told_and_for_those_sent_since():
-    """Guards against prompts of this box that the probed worker had not received yet."""
+def test_a_prompt_waits_for_probed_prompts_and_those_sent_since():
+    """Guards against ignoring prompts of this box that had not arrived at the probed worker."""
     table = WorkerTable()
     table.upsert(belief("p", stage=Stage.PREFILL).worker, 0.0)
     known = table.beliefs_by_id["p"]
@@ -137,8 +137,8 @@
     assert prefill(known, factor=1.5).wait_s == pytest.approx(4 * 0.2 * 1.5)
 
 
-def test_a_fresh_probe_overrules_what_calls_waited_before():
-    """Guards against a worker that is idle again being passed over for a wait of the past."""
+def test_a_fresh_probe_overrides_earlier_observed_waits():
+    """Guards against passing over a worker that is idle again because of an earlier wait."""
     known = belief(stage=Stage.PREFILL)
     known.queue.observed_wait_s, known.queue.observed_at = 0.6, 10.0
     assert prefill(known, reported_wait_s=0.8).wait_s == pytest.approx(0.8)
@@ -147,8 +147,8 @@
     assert prefill(known, reported_wait_s=0.8).wait_s == 0.0
 
 
-def test_a_prompt_is_overdue_only_beyond_what_was_predicted_when_it_was_sent():
-    """Guards against counting a queue that was known as a second wait."""
+def test_a_prompt_is_overdue_only_beyond_its_prediction():
+    """Guards against counting a known queue as a second wait."""
     known = belief(stage=Stage.PREFILL)
     known.queue.note_sent("r1", 5_000, 9.0, expected_s=0.8)
     assert prefill(known, now=9.7).overdue_s == 0.0
@@ -156,24 +156,24 @@
 
 
 def test_another_hall_costs_some_round_trips():
-    """Guards against work that leaves the hall for no gain."""
+    """Guards against work that leaves the hall without a gain."""
     assert plain(belief(zone="far")).hall_penalty_s == predicted_end.OTHER_HALL_PENALTY_S
     assert plain(belief()).hall_penalty_s == 0.0
 
 
 @pytest.mark.parametrize("of", [plain, decode, prefill])
-def test_one_failure_costs_at_least_the_usual_time_and_those_of_peers_their_part(of):
+def test_failures_here_and_at_peers_cost_at_least_the_usual_time(of):
     """Guards against failures that weigh less than in choices by cost."""
     known = belief()
     usual_s = of(known).work_s
     known.failures, known.failed_at = 1.0, 10.0
     assert of(known).failure_penalty_s >= usual_s
-    around = Surroundings(zone="near", peers=PeersThatFailed(50.0))
+    around = Surroundings(zone="near", peers=PeersWithFailures(50.0))
     assert of(belief(), around=around).failure_penalty_s >= 1.6 * usual_s
 
 
-def test_an_end_tells_its_parts_to_the_log():
-    """Guards against a choice that can't be explained, and an infinite age that is no JSON."""
+def test_a_predicted_end_logs_its_parts():
+    """Guards against choices without an explanation, and an infinite age that JSON cannot hold."""
     facts = PredictedEnd(wait_s=0.1, work_s=0.2, gap_penalty_s=0.9).log_fields()
     assert facts["end_ms"] == 1200.0
     assert facts["end_wait_ms"] == 100.0
@@ -184,8 +184,8 @@
 # Draws.
 
 
-def test_a_draw_names_different_workers_in_proportion_to_their_speeds():
-    """Guards against the same worker probed twice, and against slow workers as often as quick."""
+def test_a_sample_has_different_workers_in_proportion_to_their_speeds():
+    """Guards against probing a worker twice, and slow workers as often as fast ones."""
     names = ["slow", "usual", "quick", "quicker"]
     speeds = dict(zip(names, (0.25, 1.0, 1.5, 2.25), strict=True))
     beliefs = [belief(name) for name in names]
@@ -197,7 +197,7 @@
         assert part == pytest.approx(speed / 5.0, abs=0.03)
 
 
-def test_a_draw_of_more_than_there_are_names_all():
+def test_a_sample_larger_than_the_candidates_has_them_all():
     """Guards against an error in a service of one or two prefill workers."""
     drawn = sample_by_speed(
         [belief("a"), belief("b")], speeds={"a": 1, "b": 1}, count=3, rng=random.Random(1)
@@ -206,13 +206,13 @@
 
 
 def test_the_earliest_end_is_chosen():
-    """Guards against a part that is left out of the comparison."""
+    """Guards against a part that is missing from the comparison."""
     ends = {"a": end(0.2), "b": PredictedEnd(wait_s=0.0, work_s=0.1, failure_penalty_s=0.2)}
     assert earliest_end(ends) == "a"
 
 
-def test_weights_add_up_and_none_is_over_its_share_by_speed():
-    """Guards against one quick worker among slow ones that takes most of the work."""
+def test_weights_add_up_and_stay_below_the_limit_by_speed():
+    """Guards against one fast worker among slow ones taking most of the work."""
     rng = random.Random(3)
     for _ in range(300):
         ends = [end(rng.uniform(0.02, 1.0)) for _ in range(rng.randint(1, 12))]
@@ -224,15 +224,15 @@
             assert weight <= limit + 1e-9
 
 
-def test_what_hangs_leaves_all_to_others():
-    """Guards against the limit on shares sending work to workers that hang."""
+def test_hanging_workers_leave_the_work_to_others():
+    """Guards against a share limit that sends work to hanging workers."""
     hanging = PredictedEnd(wait_s=0.0, work_s=0.1, overdue_s=0.5)
     weights = draw_weights([end(0.1), hanging, hanging])
     assert weights[0] > 0.98
 
 
-def test_a_failing_worker_gets_nothing_while_others_are_sound_as_by_cost():
-    """Guards against a share for a worker that all choices by cost would leave out."""
+def test_a_failing_worker_gets_nothing_while_others_work_as_by_cost():
+    """Guards against a share for a worker that choices by cost would leave out."""
     table = WorkerTable()
     for name in ("a", "b", "c"):
         table.upsert(belief(name).worker, 0.0)
@@ -258,8 +258,8 @@
     assert "a" in picks(10.0)
 
 
-def test_failing_workers_are_never_shut_out_where_no_other_is_left():
-    """Guards against a request that is refused though a worker that failed lately could serve."""
+def test_failing_workers_are_used_where_no_other_is_left():
+    """Guards against refusing a request that a recently failed worker could serve."""
     known = belief("a")
     known.failures, known.failed_at = 4.0, 10.0
     assert draw_by_end({"a": plain(known)}, {"a"}, random.Random(1)) == "a"
@@ -269,9 +269,9 @@
     assert len(exclude_suspects([known, sound], around=AROUND, now=10.0, least=3)) == 2
 
 
-# Herding: boxes that choose by the same news, half a second old.
+# Herding: boxes that choose by the same reports, half a second old.
 
-NEWS_AGE_S = 0.5
+REPORT_AGE_S = 0.5
 USUAL_S = 0.1
 RATE = 1500.0
 SLOTS = 30
@@ -279,35 +279,35 @@
 MIXED = [0.6, 1.0, 1.6] * 4
 CHANGES = {
     "one of three slows": ([1.0, 1.0, 1.0], [5.0, 1.0, 1.0]),
-    "a quick one slows": (MIXED, [1.5, *MIXED[1:]]),
+    "a fast one slows": (MIXED, [1.5, *MIXED[1:]]),
     "slow ones recover": ([1.5, 2.5, 4.0, *MIXED[3:]], MIXED),
-    "the only quick one slows": ([1.6] * 11 + [0.6], [1.6] * 11 + [1.5]),
-    "one is told to be five times as quick": ([1.0] * 11 + [0.2], [1.0] * 11 + [0.2]),
+    "the only fast one slows": ([1.6] * 11 + [0.6], [1.6] * 11 + [1.5]),
+    "one reports to be five times as fast": ([1.0] * 11 + [0.2], [1.0] * 11 + [0.2]),
 }
 
 
-def by_weights(ends, speeds, rng):
-    """The rule in use."""
+def draw_in_use(ends, speeds, rng):
+    """The draw that the module uses."""
     return draw_by_end(ends, set(), rng)
 
 
-def by_cube_alone(ends, speeds, rng):
-    """(1 / end) ** 3 without a limit on shares."""
+def draw_by_cube(ends, speeds, rng):
+    """Draw by (1 / end) ** 3, without a limit on shares."""
     names = list(ends)
     return rng.choices(names, weights=[ends[name].total_s ** -3.0 for name in names])[0]
 
 
-def by_two_candidates(ends, speeds, rng):
-    """The sooner of two candidates drawn by speed."""
+def draw_two_by_speed(ends, speeds, rng):
+    """Take the earlier of two candidates drawn by speed."""
     names = sorted(ends, key=lambda name: rng.expovariate(speeds[name]))[:2]
     return min(names, key=lambda name: ends[name].total_s)
 
 
-def most_over_share(rule, *, boxes, before, after, seed):
-    """The highest part of the requests of one second over the share by speed, of any worker.
+def max_share_ratio(rule, *, boxes, before, after, seed):
+    """Return the highest ratio of a worker's share of requests to its share by speed.
 
-    The paces change at 0. All boxes know them as they were half a second before, what they have
-    open themselves, and the load that their own answers told.
+    It covers the requests of one second. The paces change at time 0. All boxes know the paces of
+    half a second before, their own open requests, and the load that their own responses reported.
     """
     rng = random.Random(seed)
     names = [f"w{number}" for number in range(len(before))]
@@ -325,14 +325,14 @@
             known.load_running, known.load_at = running[name], ended_at
             known.in_flight_at_load = known.in_flight
         box = rng.randrange(boxes)
-        told = dict(zip(names, before if now < NEWS_AGE_S else after, strict=True))
+        told = dict(zip(names, before if now < REPORT_AGE_S else after, strict=True))
         true = dict(zip(names, before if now < 0.0 else after, strict=True))
         ends = {
             name: predict_plain_end(
                 views[box][name],
                 usual_s=USUAL_S,
                 around=AROUND,
-                pace=pace(told[name], NEWS_AGE_S),
+                pace=pace(told[name], REPORT_AGE_S),
                 now=now,
             )
             for name in rng.sample(names, len(names))
@@ -353,29 +353,29 @@
 
 @pytest.mark.parametrize("boxes", [8, 87, 360])
 @pytest.mark.parametrize("change", CHANGES)
-def test_no_worker_gets_over_three_times_its_share_by_speed_after_a_change(boxes, change):
-    """Guards against all boxes turning to the worker that the same old news call the quickest."""
+def test_no_worker_exceeds_three_times_its_share_by_speed_after_a_change(boxes, change):
+    """Guards against all boxes choosing the worker that the same old reports call the fastest."""
     before, after = CHANGES[change]
-    found = most_over_share(by_weights, boxes=boxes, before=before, after=after, seed=1)
+    found = max_share_ratio(draw_in_use, boxes=boxes, before=before, after=after, seed=1)
     assert found <= BOUND
 
 
-def test_the_rule_in_use_holds_the_bound_better_than_those_that_were_not_kept():
-    """Guards against a return to a rule that was tried: the cube alone, or two candidates."""
-    before, after = CHANGES["the only quick one slows"]
+def test_the_draw_in_use_herds_less_than_the_rejected_draws():
+    """Guards against a return to a rejected draw: the cube alone, or two candidates."""
+    before, after = CHANGES["the only fast one slows"]
 
     def worst(rule):
         return max(
-            most_over_share(rule, boxes=360, before=before, after=after, seed=seed)
+            max_share_ratio(rule, boxes=360, before=before, after=after, seed=seed)
             for seed in range(2)
         )
 
-    kept = worst(by_weights)
-    assert kept < worst(by_two_candidates)
-    assert kept < worst(by_cube_alone)
+    kept = worst(draw_in_use)
+    assert kept < worst(draw_two_by_speed)
+    assert kept < worst(draw_by_cube)
 
 
-# Prefill workers: three drawn by speed, probed, the soonest gets the prompt.
+# Prefill workers: three are drawn by speed and probed; the earliest end gets the prompt.
 
 PROMPT_S = 0.187
 PROMPTS_PER_S = 35.0
@@ -383,11 +383,12 @@
 RUNS = 12
 
 
-def most_prompts_over_share(*, boxes, before, after, answered):
-    """The same for prompts, over all runs; a part ``answered`` of the probes tell pace and load.
+def max_prompt_share_ratio(*, boxes, before, after, answered):
+    """Return the same ratio for prompts, over all runs.
 
-    A worker reads one prompt after the other. Between the probes and the prompt's arrival there is
-    the time of a round trip, in which other boxes send theirs.
+    A share ``answered`` of the probes returns pace and load. A worker prefills one prompt after the
+    other. A round trip lies between the probes and the arrival of the prompt, and other boxes send
+    their prompts in that time.
     """
     counts = [0] * len(before)
     for seed in range(RUNS):
@@ -405,7 +406,7 @@
                 factor = (before if arrived_at < 0.0 else after)[chosen]
                 began_at = max([arrived_at, *ends_at[chosen][-1:]])
                 ends_at[chosen].append(began_at + PROMPT_S * factor)
-            told = before if now < NEWS_AGE_S else after
+            told = before if now < REPORT_AGE_S else after
             true = before if now < 0.0 else after
             view = views[rng.randrange(boxes)]
             speeds = {str(n): 1.0 / factor for n, factor in enumerate(told)}
@@ -439,11 +440,12 @@
 @pytest.mark.parametrize("boxes", [8, 87, 360])
 @pytest.mark.parametrize("answered", [1.0, 0.5, 0.0])
 @pytest.mark.parametrize("change", CHANGES)
-def test_no_prefill_worker_gets_over_three_times_its_share_of_prompts(boxes, answered, change):
-    """Guards against prompts that all go to the worker that old news call the quickest.
+def test_no_prefill_worker_exceeds_three_times_its_share_of_prompts(boxes, answered, change):
+    """Guards against prompts that all go to the worker that old reports call the fastest.
 
-    The soonest of three by old news alone, without any probe answered, got 4.7 times its share.
+    Choosing the earliest of three by old reports alone, without any answered probe, gave a worker
+    4.7 times its share.
     """
     before, after = CHANGES[change]
-    found = most_prompts_over_share(boxes=boxes, before=before, after=after, answered=answered)
+    found = max_prompt_share_ratio(boxes=boxes, before=before, after=after, answered=answered)
     assert found <= BOUND
--- a/tests/systems/test_worker_pace.py
+++ b/tests/systems/test_worker_pace.py
@@ -1,4 +1,4 @@
-"""Paces of workers: what is told and seen is mixed, odd figures change nothing, old ones fade."""
+"""Paces of workers: figures are weighted by source and age, and invalid ones are ignored."""
 
 import math
 
@@ -24,9 +24,9 @@
 NAN, INF = math.nan, math.inf
 KINDS = list(WorkKind)
 kinds = st.sampled_from(KINDS)
-paces_told = st.floats(MIN_PACE, MAX_PACE)
-odd = st.sampled_from([0.0, -0.0, -1.0, -1e300, NAN, INF, -INF, 1e-300, 5e-324, 1e18, 1e300])
-any_float = st.floats() | odd
+reported_paces = st.floats(MIN_PACE, MAX_PACE)
+invalid = st.sampled_from([0.0, -0.0, -1.0, -1e300, NAN, INF, -INF, 1e-300, 5e-324, 1e18, 1e300])
+any_float = st.floats() | invalid
 gaps = st.floats(0.0, 20.0)
 
 
@@ -39,7 +39,7 @@
 
 
 def known(now=10.0):
-    """A worker of which all sources tell something."""
+    """Return paces with figures from all sources for one worker."""
     paces = WorkerPaces()
     paces.note_reported("w", 2.0, now)
     paces.note_observed("w", WorkKind.ANSWER, 3.0, now)
@@ -47,12 +47,12 @@
     return paces
 
 
-# Odd input changes nothing.
+# Invalid input changes nothing.
 
 
-@given(odd)
-def test_an_odd_pace_changes_nothing(value):
-    """Guards against a worker that no request reaches, or all do, by one odd figure."""
+@given(invalid)
+def test_an_invalid_pace_changes_nothing(value):
+    """Guards against one invalid figure that sends no requests to a worker, or all of them."""
     paces, now = known(), 10.1
     before = estimates(paces, now), paces.notices(now)
     paces.note_reported("w", value, now)
@@ -63,8 +63,8 @@
 
 
 @given(st.sampled_from([-0.1, -1e300, NAN, INF, -INF, REPORT_TTL_S, 1e300]))
-def test_a_pace_of_an_odd_age_changes_nothing(age_s):
-    """Guards against a word from the future, which no later one would replace."""
+def test_a_pace_of_an_invalid_age_changes_nothing(age_s):
+    """Guards against a report from the future, which no later one would replace."""
     paces, now = known(), 10.1
     before = estimates(paces, now), paces.notices(now)
     paces.note_reported("w", 5.0, now, age_s=age_s)
@@ -73,8 +73,8 @@
 
 
 @given(st.sampled_from([0.0, -1.0, NAN, INF, -INF, 1e300, 2 * MAX_OBSERVED_WEIGHT]))
-def test_what_a_peer_saw_with_an_odd_weight_changes_nothing(weight):
-    """Guards against one notice that outweighs everything this box saw."""
+def test_a_peer_observation_of_invalid_weight_changes_nothing(weight):
+    """Guards against one notice that outweighs all observations of this box."""
     paces, now = known(), 10.1
     before = estimates(paces, now), paces.notices(now)
     for kind in KINDS:
@@ -82,9 +82,9 @@
     assert (estimates(paces, now), paces.notices(now)) == before
 
 
-@given(odd)
-def test_a_worker_of_which_only_odd_figures_came_is_not_known(value):
-    """Guards against state that grows by figures that are ignored."""
+@given(invalid)
+def test_invalid_figures_create_no_record(value):
+    """Guards against state that grows by ignored figures."""
     paces = WorkerPaces()
     paces.note_reported("w", value, 0.0)
     paces.note_observed("w", WorkKind.TOKEN, value, 0.0)
@@ -102,8 +102,8 @@
         ("seen", 1 / MAX_OBSERVED_RATIO, MIN_PACE),
     ],
 )
-def test_extreme_paces_that_can_be_count_as_the_nearest_that_is_believed(note, value, bound):
-    """Guards against an answer after a long hang that is ignored as absurd."""
+def test_extreme_valid_paces_count_as_the_nearest_accepted_one(note, value, bound):
+    """Guards against ignoring a response after a long hang."""
     extreme, nearest = WorkerPaces(), WorkerPaces()
     for paces, pace in ((extreme, value), (nearest, bound)):
         if note == "told":
@@ -122,8 +122,8 @@
 )
 
 
-def play(paces, history):
-    """Feed any figures in; returns the time and the paces that were plausible, held to bounds."""
+def apply_history(paces, history):
+    """Apply a history; return the time and the valid paces, limited to the accepted range."""
     now, sources = 0.0, [1.0]
     for what, kind, value, other, gap in history:
         now += gap if what == "wait" else 0.0
@@ -140,19 +140,19 @@
 
 @given(st.lists(steps, max_size=25), kinds)
 def test_the_estimate_lies_between_the_prior_and_the_sources(history, kind):
-    """Guards against a mix that is slower or quicker than anything that was told or seen."""
+    """Guards against an estimate outside the range of all reported and observed paces."""
     paces = WorkerPaces()
-    now, sources = play(paces, history)
+    now, sources = apply_history(paces, history)
     found = paces.estimate("w", kind, now)
     assert min(sources) * (1 - 1e-9) <= found.factor <= max(sources) * (1 + 1e-9)
     assert MIN_PACE <= found.factor <= MAX_PACE and found.age_s >= 0.0
 
 
 @given(st.lists(steps, max_size=25))
-def test_notices_hold_only_what_can_be_taken_in(history):
-    """Guards against notices that other boxes drop, or that the codec can't write."""
+def test_notices_hold_only_valid_figures(history):
+    """Guards against notices that other boxes drop, or that the codec cannot write."""
     paces = WorkerPaces()
-    now, _ = play(paces, history)
+    now, _ = apply_history(paces, history)
     for entry in paces.notices(now):
         assert entry.told == 0.0 or MIN_PACE * 0.99 <= entry.told <= MAX_PACE * 1.01
         assert entry.seen == 0.0 or MIN_PACE * 0.99 <= entry.seen <= MAX_PACE * 1.01
@@ -160,29 +160,29 @@
         assert 0.0 <= entry.seen_weight <= MAX_OBSERVED_WEIGHT
 
 
-@given(paces_told, st.integers(1, 30))
-def test_a_plain_worker_is_back_at_the_prior_two_seconds_after_its_last_word(pace, words):
+@given(reported_paces, st.integers(1, 30))
+def test_a_plain_worker_is_back_at_the_prior_two_seconds_after_its_last_report(pace, reports):
     """Guards against a worker that was slow once and is not tried again."""
     paces = WorkerPaces()
-    for number in range(words):
+    for number in range(reports):
         paces.note_reported("w", pace, 0.1 * number)
-    found = paces.estimate("w", WorkKind.ANSWER, 0.1 * (words - 1) + 2.0)
+    found = paces.estimate("w", WorkKind.ANSWER, 0.1 * (reports - 1) + 2.0)
     assert abs(math.log(found.factor)) <= 0.06 * abs(math.log(pace)) + 1e-9
 
 
-@given(paces_told, st.integers(1, 30), st.sampled_from([WorkKind.PREFILL, WorkKind.TOKEN]))
-def test_other_workers_are_more_than_half_back_two_seconds_after_their_last_word(pace, words, kind):
-    """Guards against a prefill worker that a mean of its words keeps from prompts for long."""
+@given(reported_paces, st.integers(1, 30), st.sampled_from([WorkKind.PREFILL, WorkKind.TOKEN]))
+def test_other_workers_are_half_back_two_seconds_after_their_last_report(pace, reports, kind):
+    """Guards against a mean of reports that keeps prompts from a prefill worker for long."""
     paces = WorkerPaces()
-    for number in range(words):
+    for number in range(reports):
         paces.note_reported("w", pace, 0.1 * number)
-    found = paces.estimate("w", kind, 0.1 * (words - 1) + 2.0)
+    found = paces.estimate("w", kind, 0.1 * (reports - 1) + 2.0)
     assert abs(math.log(found.factor)) <= 0.5 * abs(math.log(pace)) + 1e-9
 
 
-@given(paces_told, kinds)
-def test_what_was_seen_fades_to_the_prior(pace, kind):
-    """Guards against a pace that lasts for as long as nobody asks the worker."""
+@given(reported_paces, kinds)
+def test_observations_decay_to_the_prior(pace, kind):
+    """Guards against a pace that lasts as long as nobody asks the worker."""
     paces = WorkerPaces()
     for _ in range(20):
         paces.note_observed("w", kind, pace, 0.0)
@@ -191,9 +191,9 @@
     assert logs[-1] <= 0.12 * abs(math.log(pace)) + 1e-9
 
 
-@given(paces_told, kinds, kinds)
-def test_what_was_seen_of_one_kind_of_work_says_nothing_of_another(pace, kind, other):
-    """The fault: one mean stood for all kinds, so that slow prompts made tokens slow."""
+@given(reported_paces, kinds, kinds)
+def test_kinds_of_work_are_observed_separately(pace, kind, other):
+    """Guards against one mean for all kinds of work, with which slow prompts made tokens slow."""
     paces = WorkerPaces()
     paces.note_observed("w", kind, pace, 0.0)
     paces.apply_notice(notice(seen=pace, weight=1.0), kind, 0.0)
@@ -202,33 +202,34 @@
 
 
 @given(st.lists(steps, max_size=25), kinds)
-def test_a_new_life_begins_at_the_prior(history, kind):
-    """Guards against a restarted worker that pays for what its life before was."""
+def test_a_new_life_starts_at_the_prior(history, kind):
+    """Guards against a restarted worker that inherits the pace of its previous life."""
     paces = WorkerPaces()
-    now, _ = play(paces, history)
+    now, _ = apply_history(paces, history)
     assert paces.estimate("w@2", kind, now).factor == 1.0
     paces.forget("w")
     found = paces.estimate("w", kind, now)
     assert (found.factor, found.source, found.age_s) == (1.0, PaceSource.PRIOR, INF)
 
 
-def test_an_older_word_does_not_replace_a_newer_one():
-    """Guards against a peer's news from before a worker's change."""
+def test_an_older_report_does_not_replace_a_newer_one():
+    """Guards against a notice of a peer from before a change of the worker."""
     paces = WorkerPaces()
     paces.note_reported("w", 1.0, 10.0)
     paces.apply_notice(notice(told=9.0, age=0.4), WorkKind.ANSWER, 10.1)
     assert paces.estimate("w", WorkKind.ANSWER, 10.1).factor == 1.0
 
 
-# A worker that lies.
+# A worker that reports a wrong pace.
 
 
 @pytest.mark.parametrize("kind", KINDS)
 @pytest.mark.parametrize("told, true", [(1.0, 5.0), (0.6, 5.0), (1.0, 10.0), (0.2, 1.0)])
-def test_a_worker_that_tells_a_wrong_pace_is_corrected_by_its_answers(kind, told, true):
-    """The fault: a fresh word outweighed all answers, so a slow worker that tells 0.6 got most.
+def test_a_wrong_reported_pace_is_corrected_by_responses(kind, told, true):
+    """Guards against fresh reports that outweigh all responses.
 
-    From the sixth answer on the estimate is nearer to what is seen than to what is told.
+    A slow worker that reported 0.6 got most requests. From the sixth response on, the estimate must
+    be nearer to the observed pace than to the reported one.
     """
     paces = WorkerPaces()
     for number in range(20):
@@ -240,8 +241,8 @@
             assert abs(log - math.log(true)) < abs(log - math.log(told))
 
 
-def test_one_slow_answer_does_not_end_the_trust_in_what_a_worker_tells():
-    """Guards against a worker that is distrusted for one answer that waited."""
+def test_one_slow_response_does_not_end_the_trust_in_reports():
+    """Guards against distrust of a worker because of one response that waited."""
     paces = WorkerPaces()
     for number in range(10):
         paces.note_reported("w", 1.6, 0.1 * number)
@@ -250,8 +251,8 @@
     assert found.source is PaceSource.REPORTED and found.factor < 2.6
 
 
-def test_trust_comes_back():
-    """Guards against a worker whose words count nothing for good after it was wrong."""
+def test_trust_recovers():
+    """Guards against a worker whose reports count nothing for good after it was wrong."""
     paces = WorkerPaces()
     for number in range(100):
         now = 0.2 * number
@@ -264,9 +265,12 @@
 # Peers.
 
 
-def test_the_same_word_of_a_peer_counts_once_however_often_it_comes():
-    """The fault: each notice named the word with an age that differed by its delay on the way, and
-    the mean of told paces took it for a new one each time."""
+def test_a_repeated_report_of_a_peer_counts_once():
+    """Guards against repeated reports that enter the mean of reported paces each time.
+
+    Each notice gave the report an age that varied with the network delay, so that the report seemed
+    new.
+    """
     once, often = WorkerPaces(), WorkerPaces()
     once.apply_notice(notice(told=5.0, age=0.0), WorkKind.TOKEN, 0.0)
     for number in range(19):
@@ -278,9 +282,12 @@
     assert many == pytest.approx(one, rel=0.02)
 
 
-def test_a_word_does_not_go_round_among_boxes():
-    """The fault: boxes told on what peers told; by the way there it seemed newer each time, came
-    back to the box that had told it first, and counted again."""
+def test_a_report_does_not_circulate_among_boxes():
+    """Guards against boxes that pass on the reports of peers.
+
+    The delay made a report seem newer each time. It came back to the box that had sent it first,
+    and counted again.
+    """
     boxes = [WorkerPaces() for _ in range(4)]
     alone = WorkerPaces()
     for paces in (boxes[0], alone):
@@ -298,25 +305,23 @@
 
 
 @given(st.floats(0.05, MAX_OBSERVED_WEIGHT), st.integers(1, 200), st.integers(1, 10), kinds)
-def test_notices_that_are_told_again_and_again_gain_no_weight_without_bound(
-    weight, times, peers, kind
-):
-    """Guards against peers that outweigh this box's own answers by repetition."""
+def test_repeated_notices_gain_limited_weight(weight, times, peers, kind):
+    """Guards against peers that outweigh the responses at this box by repetition."""
     paces = WorkerPaces()
     for number in range(times):
         for _ in range(peers):
             paces.apply_notice(notice(seen=5.0, weight=weight), kind, 0.05 * number)
     now = 0.05 * (times - 1)
     heard = paces.estimate("w", kind, now).factor
-    # Four answers' weight against the prior's one at most.
+    # At most the weight of four responses against one of the prior.
     assert math.log(heard) <= 0.8 * math.log(5.0) + 1e-9
     for _ in range(8):
         paces.note_observed("w", kind, 1.0, now)
     assert math.log(paces.estimate("w", kind, now).factor) <= math.log(5.0) * 4 / 9 + 1e-9
 
 
-def test_what_a_peer_saw_counts_half_of_what_was_seen_here():
-    """Guards against peers' links that decide what this box believes."""
+def test_an_observation_of_a_peer_counts_half_of_an_own_one():
+    """Guards against the links of peers deciding the estimate of this box."""
     here, there = WorkerPaces(), WorkerPaces()
     here.note_observed("w", WorkKind.PREFILL, 5.0, 0.0)
     there.apply_notice(notice(seen=5.0, weight=1.0), WorkKind.PREFILL, 0.0)
@@ -324,7 +329,7 @@
     assert logs == pytest.approx([math.log(5.0) / 2, math.log(5.0) / 3])
 
 
-def test_a_notice_tells_of_the_workers_last_heard_of():
+def test_notices_cover_the_workers_updated_last():
     """Guards against a datagram that grows with the fleet."""
     paces = WorkerPaces()
     for number in range(500):
@@ -334,16 +339,16 @@
     assert {entry.worker for entry in told} == {f"w{n}" for n in range(500 - MAX_NOTICES, 500)}
 
 
-def test_workers_that_tell_no_pace_are_in_no_notice():
-    """Off by default: guards against notices that grow where no worker reports a pace."""
+def test_workers_that_report_no_pace_are_in_no_notice():
+    """Guards against notices that grow where no worker reports a pace."""
     paces = WorkerPaces()
     for number in range(50):
         paces.note_observed(f"w{number}", WorkKind.ANSWER, 3.0, 0.0)
     assert paces.notices(0.0) == () and not paces.any_reported(["w1"], 0.0)
 
 
-def test_workers_that_are_not_heard_of_are_forgotten():
-    """Guards against state that grows with the lives of workers."""
+def test_workers_without_news_are_forgotten():
+    """Guards against state that grows with the number of worker lives."""
     paces = WorkerPaces()
     for number in range(1000):
         paces.note_reported(f"w{number}", 1.6, 0.0)
@@ -357,8 +362,8 @@
 
 @pytest.mark.parametrize("reports_pace", [True, False])
 @pytest.mark.parametrize("seed", range(8))
-def test_a_slow_worker_gets_a_sixth_at_most_and_soon_its_part_again(seed, reports_pace):
-    """Guards against slow workers that are overloaded, and quick ones that stay idle afterwards."""
+def test_a_slow_worker_gets_a_sixth_at_most_and_recovers_its_share_soon(seed, reports_pace):
+    """Guards against overloading slow workers, and against idle ones after they recover."""
     simulation = PaceSimulation(seed=seed, reports_pace=reports_pace).run()
     slow_until = SLOW_START_S + SLOW_DURATION_S
     assert simulation.first_slow_at is not None
