--- a/src/croftchute/forwarding/workers/end_choice.py
+++ b/src/croftchute/forwarding/workers/end_choice.py
@@ -99,7 +99,7 @@
             self._left(candidates),
             around=self.around,
             now=state.clock(),
-            least=predicted_end.PREFILL_CANDIDATES,
+            min_count=predicted_end.PREFILL_CANDIDATES,
         )
         speeds = {belief.worker.id: self._pace(belief).speed for belief in left}
         drawn = predicted_end.sample_by_speed(
--- a/src/croftchute/systems/predicted_end.py
+++ b/src/croftchute/systems/predicted_end.py
@@ -201,11 +201,11 @@
 
 
 def exclude_suspects(
-    candidates: Sequence[WorkerBelief], *, around: Surroundings, now: float, least: int
+    candidates: Sequence[WorkerBelief], *, around: Surroundings, now: float, min_count: int
 ) -> list[WorkerBelief]:
-    """Return the candidates that are not suspect, or all if fewer than ``least`` are left."""
+    """Return the candidates that are not suspect, or all if fewer than ``min_count`` are left."""
     trusted = [b for b in candidates if not is_suspect(b, around, now)]
-    return trusted if len(trusted) >= least else list(candidates)
+    return trusted if len(trusted) >= min_count else list(candidates)
 
 
 def earliest_end(ends: Mapping[str, PredictedEnd]) -> str:
@@ -223,9 +223,9 @@
     A suspect worker takes part only if its end is the earliest, failures included. As in choices by
     cost, it gets nothing while other workers are free of failures.
     """
-    soonest = earliest_end(ends)
-    left = [w for w in ends if w not in suspects or w == soonest]
-    return rng.choices(left, weights=draw_weights([ends[w] for w in left]))[0]
+    earliest = earliest_end(ends)
+    remaining = [w for w in ends if w not in suspects or w == earliest]
+    return rng.choices(remaining, weights=draw_weights([ends[w] for w in remaining]))[0]
 
 
 def draw_weights(ends: Sequence[PredictedEnd]) -> list[float]:
--- a/src/croftchute/systems/stage_headroom.py
+++ b/src/croftchute/systems/stage_headroom.py
@@ -420,10 +420,10 @@
     rate = max(1.0, scale) * counts.asks / DEMAND_WINDOW_S
     return (
         f"{present.prefill_workers}+{present.decode_workers} are "
-        f"{present.prefill:.2f}+{present.decode:.2f} used, "
+        f"{present.prefill:.2f}+{present.decode:.2f} utilized, "
         f"{wanted.prefill_workers}+{wanted.decode_workers} would be "
         f"{wanted.prefill:.2f}+{wanted.decode:.2f}; "
         f"{rate:.1f} prompts/s over {DEMAND_WINDOW_S:.0f} s "
-        f"({counts.asks} asks times {scale:.2f}) need {load.prefill:.1f}+{load.decode:.1f} "
-        "engines of usual speed"
+        f"({counts.asks} requests times {scale:.2f}) need {load.prefill:.1f}+{load.decode:.1f} "
+        "engines of the usual speed"
     )
--- a/src/croftchute/systems/stage_search.py
+++ b/src/croftchute/systems/stage_search.py
@@ -108,7 +108,7 @@
 
     def _search_exact(self, max_count: int) -> _Choice:
         best = _Choice()
-        best_value, best_tie_break = self.overload(best), self._tie_break(best)
+        best_overload, best_tie_break = self.overload(best), self._tie_break(best)
         for number in range(1, min(max_count, len(self.candidates)) + 1):
             for chosen in combinations(self.candidates, number):
                 choice = _Choice(
@@ -116,12 +116,12 @@
                     speed_lost=sum(candidate.speed_lost for candidate in chosen),
                     speed_gained=sum(candidate.speed_gained for candidate in chosen),
                 )
-                value = self.overload(choice)
-                if value > best_value or not self._fits(choice):
+                overload = self.overload(choice)
+                if overload > best_overload or not self._fits(choice):
                     continue
                 tie_break = self._tie_break(choice)
-                if (value, tie_break) < (best_value, best_tie_break):
-                    best, best_value, best_tie_break = choice, value, tie_break
+                if (overload, tie_break) < (best_overload, best_tie_break):
+                    best, best_overload, best_tie_break = choice, overload, tie_break
         return best
 
     def _search_greedy(self, max_count: int) -> _Choice:
@@ -153,8 +153,8 @@
                     )
             if not options:
                 break
-            value, _, longer = min(options, key=lambda option: option[:2])
-            if value >= self.overload(choice):
+            overload, _, longer = min(options, key=lambda option: option[:2])
+            if overload >= self.overload(choice):
                 break
             choice = longer
         return choice
@@ -191,7 +191,7 @@
     def _best_exchange(self, choice: _Choice, max_count: int) -> _Choice | None:
         out_by_speed = {(c.speed_lost, c.speed_gained): c for c in choice.chosen}
         leaving, coming = list(out_by_speed.values()), self._distinct_candidates(choice)
-        best_value = self.overload(choice)
+        best_overload = self.overload(choice)
         best: tuple[tuple[Candidate, ...], tuple[Candidate, ...]] | None = None
         for removed_count, added_count in ((1, 1), (1, 2), (2, 1)):
             if len(choice.chosen) - removed_count + added_count > max_count:
@@ -204,9 +204,9 @@
                         speed_lost=speed_lost + sum(c.speed_lost for c in added),
                         speed_gained=speed_gained + sum(c.speed_gained for c in added),
                     )
-                    value = self.overload(changed)
-                    if value < best_value and self._fits(changed):
-                        best_value, best = value, (removed, added)
+                    overload = self.overload(changed)
+                    if overload < best_overload and self._fits(changed):
+                        best_overload, best = overload, (removed, added)
         if best is None:
             return None
         removed, added = best
--- a/src/croftchute/systems/worker_pace.py
+++ b/src/croftchute/systems/worker_pace.py
@@ -71,7 +71,7 @@
 
 TRUST_DECAY_RATE = 2.5
 """Rate at which a reported pace loses weight with the deviation beyond the usual. At a factor of
-five between reported and observed pace, a tenth of the weight is left."""
+five between reported and observed pace, a tenth of the weight remains."""
 
 DEVIATION_HALF_LIFE_S = 8.0
 """Half-life of a deviation; several responses are observed in that time."""
@@ -108,9 +108,9 @@
 
     def add(self, value: float, weight: float, now: float) -> None:
         """Add a value to the mean."""
-        left = self.weight_at(now)
-        self.value = (left * self.value + weight * value) / (left + weight)
-        self.weight = min(self.max_weight, left + weight)
+        remaining = self.weight_at(now)
+        self.value = (remaining * self.value + weight * value) / (remaining + weight)
+        self.weight = min(self.max_weight, remaining + weight)
         self.at = max(self.at, now)
 
 
@@ -175,24 +175,24 @@
         log_pace = _log_pace(pace, max_pace=MAX_REPORTED_PACE)
         if log_pace is None or not (0.0 <= age_s < REPORT_TTL_S):
             return
-        known = self._by_id.setdefault(worker_id, _WorkerRecord())
+        record = self._by_id.setdefault(worker_id, _WorkerRecord())
         reported_at = now - age_s
-        if reported_at > known.own_report.at:
-            known.own_report = _Report(log_pace=log_pace, at=reported_at)
-        self._apply_report(known, _Report(log_pace=log_pace, at=reported_at))
+        if reported_at > record.own_report.at:
+            record.own_report = _Report(log_pace=log_pace, at=reported_at)
+        self._apply_report(record, _Report(log_pace=log_pace, at=reported_at))
 
     def note_observed(self, worker_id: str, kind: WorkKind, ratio: float, now: float) -> None:
         """Record the time of some work, as a multiple of the usual time."""
         log_pace = _log_pace(ratio, max_pace=MAX_OBSERVED_RATIO)
         if log_pace is None:
             return
-        known = self._by_id.setdefault(worker_id, _WorkerRecord())
-        observed = known.observed_by_kind.setdefault(
+        record = self._by_id.setdefault(worker_id, _WorkerRecord())
+        observed = record.observed_by_kind.setdefault(
             kind, _DecayingMean(half_life_s=OBSERVED_HALF_LIFE_S_BY_KIND[kind])
         )
         observed.add(log_pace, 1.0, now)
-        if now - known.report.at <= FRESH_REPORT_S:
-            known.deviation.add(log_pace - known.report.log_pace, 1.0, now)
+        if now - record.report.at <= FRESH_REPORT_S:
+            record.deviation.add(log_pace - record.report.log_pace, 1.0, now)
 
     def apply_notice(self, notice: WorkerPaceNotice, kind: WorkKind, now: float) -> None:
         """Apply the notice of a peer about a worker.
@@ -201,54 +201,54 @@
         """
         reported_log_pace = _log_pace(notice.told, max_pace=MAX_REPORTED_PACE)
         if reported_log_pace is not None and 0.0 <= notice.told_age_s < REPORT_TTL_S:
-            known = self._by_id.setdefault(notice.worker, _WorkerRecord())
+            record = self._by_id.setdefault(notice.worker, _WorkerRecord())
             report = _Report(log_pace=reported_log_pace, at=now - notice.told_age_s)
-            self._apply_report(known, report, min_newer_s=DUPLICATE_REPORT_S)
+            self._apply_report(record, report, min_newer_s=DUPLICATE_REPORT_S)
         log_pace = _log_pace(notice.seen, max_pace=MAX_OBSERVED_RATIO)
         if log_pace is None or not (0.0 < notice.seen_weight <= MAX_OBSERVED_WEIGHT):
             return
-        known = self._by_id.setdefault(notice.worker, _WorkerRecord())
+        record = self._by_id.setdefault(notice.worker, _WorkerRecord())
         weight = PEER_WEIGHT_SHARE * notice.seen_weight
-        peer_mean = known.peer_by_kind.get(kind)
+        peer_mean = record.peer_by_kind.get(kind)
         if peer_mean is None or peer_mean.weight_at(now) <= weight:
             half_life_s = OBSERVED_HALF_LIFE_S_BY_KIND[kind]
-            known.peer_by_kind[kind] = _DecayingMean(
+            record.peer_by_kind[kind] = _DecayingMean(
                 half_life_s=half_life_s, value=log_pace, weight=weight, at=now
             )
         else:
             peer_mean.add(log_pace, 0.5 * weight, now)
 
     @staticmethod
-    def _apply_report(known: _WorkerRecord, report: _Report, *, min_newer_s: float = 0.0) -> None:
+    def _apply_report(record: _WorkerRecord, report: _Report, *, min_newer_s: float = 0.0) -> None:
         """Apply a report that is newer than the known one.
 
         It enters the mean only if it is newer by ``min_newer_s``.
         """
-        if report.at <= known.report.at:
+        if report.at <= record.report.at:
             return
-        known.report = report
-        if report.at > known.reported_mean.at + min_newer_s:
-            known.reported_mean.add(report.log_pace, 1.0, report.at)
+        record.report = report
+        if report.at > record.reported_mean.at + min_newer_s:
+            record.reported_mean.add(report.log_pace, 1.0, report.at)
 
     def estimate(self, worker_id: str, kind: WorkKind, now: float) -> PaceEstimate:
         """Return the pace of a worker at a kind of work, from all sources."""
-        known = self._by_id.get(worker_id)
-        if known is None:
+        record = self._by_id.get(worker_id)
+        if record is None:
             return PaceEstimate(factor=1.0, source=PaceSource.PRIOR, age_s=math.inf)
-        trust = known.trust(now)
-        report_age_s = max(0.0, now - known.report.at)
+        trust = record.trust(now)
+        report_age_s = max(0.0, now - record.report.at)
         reported_weight = trust * REPORTED_WEIGHT * 0.5 ** (report_age_s / REPORTED_HALF_LIFE_S)
         parts = [
             (PRIOR_WEIGHT, 0.0, PaceSource.PRIOR, math.inf),
-            (reported_weight, known.report.log_pace, PaceSource.REPORTED, report_age_s),
+            (reported_weight, record.report.log_pace, PaceSource.REPORTED, report_age_s),
         ]
         if kind is not WorkKind.ANSWER:
-            mean = known.reported_mean
+            mean = record.reported_mean
             weight = trust * mean.weight_at(now)
             parts.append((weight, mean.value, PaceSource.REPORTED, report_age_s))
         for mean_by_kind, source in (
-            (known.observed_by_kind, PaceSource.OBSERVED),
-            (known.peer_by_kind, PaceSource.PEERS),
+            (record.observed_by_kind, PaceSource.OBSERVED),
+            (record.peer_by_kind, PaceSource.PEERS),
         ):
             if (observed := mean_by_kind.get(kind)) is not None:
                 parts.append(
@@ -265,16 +265,16 @@
 
     def reported_pace(self, worker_id: str, now: float) -> float | None:
         """Return the pace that a worker reported to this box within the half-life, or None."""
-        known = self._by_id.get(worker_id)
-        if known is None or now - known.own_report.at > REPORTED_HALF_LIFE_S:
+        record = self._by_id.get(worker_id)
+        if record is None or now - record.own_report.at > REPORTED_HALF_LIFE_S:
             return None
-        return math.exp(known.own_report.log_pace)
+        return math.exp(record.own_report.log_pace)
 
     def any_reported(self, worker_ids: Iterable[str], now: float) -> bool:
         """Return whether any of the workers reported its pace recently."""
         return any(
-            known is not None and now - known.report.at <= REPORT_TTL_S
-            for known in (self._by_id.get(worker_id) for worker_id in worker_ids)
+            record is not None and now - record.report.at <= REPORT_TTL_S
+            for record in (self._by_id.get(worker_id) for worker_id in worker_ids)
         )
 
     def notices(self, now: float) -> tuple[WorkerPaceNotice, ...]:
@@ -286,18 +286,20 @@
         self._expire_records(now)
         rows = [
             (at, notice)
-            for worker_id, known in self._by_id.items()
-            if now - known.report.at <= REPORT_TTL_S
-            and (at := _own_update_at(known)) > -math.inf
-            and (notice := _notice(worker_id, known, now)) is not None
+            for worker_id, record in self._by_id.items()
+            if now - record.report.at <= REPORT_TTL_S
+            and (at := _own_update_at(record)) > -math.inf
+            and (notice := _notice(worker_id, record, now)) is not None
         ]
         newest = heapq.nlargest(MAX_NOTICES, rows, key=lambda row: row[0])
         return tuple(notice for _, notice in newest)
 
     def _expire_records(self, now: float) -> None:
         """Drop records without recent figures: the worker is idle, or its life ended."""
-        old = [key for key, known in self._by_id.items() if now - known.updated_at > RECORD_TTL_S]
-        for worker_id in old:
+        expired = [
+            key for key, record in self._by_id.items() if now - record.updated_at > RECORD_TTL_S
+        ]
+        for worker_id in expired:
             del self._by_id[worker_id]
 
     def forget(self, worker_id: str) -> None:
@@ -305,17 +307,17 @@
         self._by_id.pop(worker_id, None)
 
 
-def _own_update_at(known: _WorkerRecord) -> float:
+def _own_update_at(record: _WorkerRecord) -> float:
     """Return when this box last got a report or a response from a worker."""
-    observed = known.last_observed
-    return max(known.own_report.at, observed.at if observed is not None else -math.inf)
+    observed = record.last_observed
+    return max(record.own_report.at, observed.at if observed is not None else -math.inf)
 
 
-def _notice(worker_id: str, known: _WorkerRecord, now: float) -> WorkerPaceNotice | None:
+def _notice(worker_id: str, record: _WorkerRecord, now: float) -> WorkerPaceNotice | None:
     """Return the notice about a worker, or None if there is nothing to send."""
-    report = known.own_report
+    report = record.own_report
     is_reported = now - report.at <= REPORT_TTL_S
-    observed = known.last_observed
+    observed = record.last_observed
     weight = observed.weight_at(now) if observed is not None else 0.0
     is_observed = observed is not None and weight >= MIN_NOTICE_WEIGHT
     if not (is_reported or is_observed):
--- a/tests/systems/test_predicted_end.py
+++ b/tests/systems/test_predicted_end.py
@@ -264,9 +264,9 @@
     known.failures, known.failed_at = 4.0, 10.0
     assert draw_by_end({"a": plain(known)}, {"a"}, random.Random(1)) == "a"
     sound = belief("b")
-    kept = exclude_suspects([known, sound], around=AROUND, now=10.0, least=1)
+    kept = exclude_suspects([known, sound], around=AROUND, now=10.0, min_count=1)
     assert kept == [sound]
-    assert len(exclude_suspects([known, sound], around=AROUND, now=10.0, least=3)) == 2
+    assert len(exclude_suspects([known, sound], around=AROUND, now=10.0, min_count=3)) == 2
 
 
 # Herding: boxes that choose by the same reports, half a second old.
