--- a/src/croftchute/forwarding/workers/completion_time_selector.py
+++ b/src/croftchute/forwarding/workers/completion_time_selector.py
@@ -105,7 +105,7 @@
             self._without_avoided(candidates),
             context=self.context,
             now=state.clock(),
-            least=predicted_end.PREFILL_CANDIDATES,
+            min_count=predicted_end.PREFILL_CANDIDATES,
         )
         speeds = {tracked.worker.id: self._pace(tracked).speed for tracked in left}
         drawn = predicted_end.sample_by_speed(
