--- a/src/croftchute/systems/tracked_worker.py
+++ b/src/croftchute/systems/tracked_worker.py
@@ -1,7 +1,6 @@
-"""What a router believes about one life of a worker, and how old each belief is.
+"""The state that a router tracks for one instance of a worker.
 
-Pure state: every function that decides takes the present time. Times are seconds of a
-monotonic clock.
+Methods do no I/O and take the present time as an argument. Times are seconds of a monotonic clock.
 """
 
 from __future__ import annotations
@@ -13,26 +12,26 @@
 from croftchute.tables.routing import Stage, Worker
 
 REJECTION_HOLD_S = 3.0
-"""Seconds after a rejection for which a worker counts as full: then it resets new connections too.
-A request that may be sent once is kept away from it for that."""
+"""Seconds for which a worker counts as full after a rejection. During this time it also resets new
+connections, so a request that may be sent only once is not sent to it."""
 
 FAILURE_HALF_LIFE_S = 2.0
-"""Seconds in which a failure counts half: crashes and cuts last for a few."""
+"""Half-life in seconds of a failure's weight: crashes and network cuts last for a few seconds."""
 
 GONE_GRACE_S = 1.2
-"""Seconds for which a worker that left the list, or said in an answer that it leaves, is a last
-resort: it serves on for 2 s and more."""
+"""Seconds for which a worker that was removed from the list, or announced that it is leaving,
+serves as a last resort. Such a worker accepts requests for at least 2 s."""
 
 LOAD_TTL_S = 0.3
-"""Seconds for which a load told with an answer counts: requests of others end about as soon."""
+"""Seconds for which a reported load counts; by then most of the requests it counted have ended."""
 
 
 @dataclass(kw_only=True, slots=True)
 class TrackedWorker:
-    """One life of a worker with everything believed about it, and the age of each belief.
+    """One instance of a worker with its tracked state and the time of each observation.
 
-    ``has_ended``: the worker has begun another life. ``is_unreadable``: its newest entry names no
-    worker; what runs there goes on.
+    ``has_ended``: the worker has restarted as another instance. ``is_unreadable``: the newest entry
+    of the worker can't be parsed; requests that run there continue.
     """
 
     worker: Worker
@@ -63,30 +62,30 @@
     sent_at_by_call: dict[object, float] = field(default_factory=dict)
 
     def has_rejected_recently(self, now: float) -> bool:
-        """Whether it seems full."""
+        """Return whether the worker counts as full after a rejection."""
         return now - self.rejected_at < REJECTION_HOLD_S
 
     def failure_score(self, now: float) -> float:
-        """Recent failures, each counting half as much after every half-life."""
+        """Return the sum of recent failures, decayed with a half-life."""
         age = max(0.0, now - self.failed_at)
         return self.failures * 0.5 ** (age / FAILURE_HALF_LIFE_S)
 
     def oldest_call_age_s(self, now: float) -> float:
-        """For how long this box's oldest open call there has been open; 0 if there is none."""
+        """Return the age of this box's oldest open call at the worker; 0 if there is none."""
         return now - min(self.sent_at_by_call.values(), default=now)
 
     def can_serve(self, stage: Stage | None, now: float) -> bool:
-        """Whether it does work of a stage at the moment, so far as its list entry goes."""
+        """Return whether the worker serves a stage now, by its list entry and stage changes."""
         if self.displaced or self.has_ended or self.is_unreadable or now < self.changing_until:
             return False
         return stage is None or self.worker.stage is None or self.worker.stage is stage
 
     def grace_s(self, mass_expiry_grace_s: float) -> float:
-        """How long after its entry went the worker may still be given work."""
+        """Return for how long the worker may get work after its entry disappeared."""
         return mass_expiry_grace_s if self.is_mass_expired else GONE_GRACE_S
 
     def other_boxes_running(self, now: float) -> float:
-        """Requests of other boxes that the worker was running or queueing lately."""
+        """Return the requests of other boxes in the worker's latest load report."""
         if now - self.load_at > LOAD_TTL_S:
             return 0.0
         known = self.load_running + self.load_waiting - self.in_flight_at_load
--- a/src/croftchute/systems/worker_advice.py
+++ b/src/croftchute/systems/worker_advice.py
@@ -1,7 +1,8 @@
-"""What workers ask of this box in their answers: no new work as they leave, or none for a while.
+"""What workers announce in their answers: that they are leaving, or want a backoff.
 
-Kept by life, apart from the worker list: an entry may lapse with the store and come back older than
-what the worker itself has said. Pure state; times are seconds of a steady clock.
+This is kept per instance and apart from the worker list: a list entry may expire with the store and
+come back older than the worker's own announcement. Methods do no I/O; times are seconds of a
+monotonic clock.
 """
 
 from __future__ import annotations
@@ -10,25 +11,25 @@
 from dataclasses import dataclass, field
 
 LEAVING_TTL_S = 600.0
-"""Seconds for which it is remembered that a worker leaves that is not listed: its entry may come
-back, from a copy of the store or after an outage, while it serves its last requests."""
+"""Seconds for which an unlisted worker is remembered as leaving. Its entry may come back from a
+copy of the store or after an outage while it still serves its last requests."""
 
 MAX_LEAVING_WORKERS = 4096
-"""Most lives of which a wish is kept: nearly twice the workers that docs/CAPACITY.md works out."""
+"""Most instances remembered as leaving: nearly twice the workers that docs/CAPACITY.md derives."""
 
 MAX_REQUESTS_IN_BACKOFF = 1
-"""Requests that a worker gets while it rests, if nothing else can serve them. Two are allowed; the
-other is left for one that was under way when the worker asked for rest and is held up on a link."""
+"""Requests sent to a worker in backoff if no other can serve them. The platform allows two; the
+second is reserved for one that was already on the way when the worker asked for the backoff."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class WorkerAdvice:
-    """What one answer says that its worker wants.
+    """What one answer announces about its worker.
 
-    ``is_leaving``: it takes no new work until its end. ``rest_s``: it wants nothing from this box
-    for so many seconds; 0 if it does not say so. ``limit_per_s``: the requests a second that it
-    takes from all boxes together; None if it names no limit that can be read, as one does that
-    ``has_odd_limit``.
+    ``is_leaving``: the worker takes no new work until it ends. ``rest_s``: the worker wants no
+    request from this box for that many seconds; 0 if it names none. ``limit_per_s``: the requests
+    per second that the worker accepts from all boxes together; None if it names no valid limit.
+    ``has_odd_limit``: it named a limit that can't be parsed.
     """
 
     is_leaving: bool = False
@@ -42,7 +43,7 @@
 
 @dataclass(kw_only=True, slots=True)
 class _Backoff:
-    """A rest that goes on until ``until``, and what was sent there meanwhile."""
+    """A backoff that lasts until ``until``, and the number of requests sent during it."""
 
     until: float
     sent: int = 0
@@ -50,7 +51,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class _Leaving:
-    """Since when it has been known that a worker leaves, and when this box heard it."""
+    """Since when a worker has been known to be leaving, and when this box learned of it."""
 
     since: float
     heard_at: float
@@ -58,15 +59,19 @@
 
 @dataclass(kw_only=True)
 class WorkerAdviceTable:
-    """The wishes of all lives of workers that told one; ``leaving_by_id`` in the order of news."""
+    """The announcements of all worker instances.
+
+    ``leaving_by_id`` is in the order in which they arrived.
+    """
 
     leaving_by_id: dict[str, _Leaving] = field(default_factory=dict)
     _backoffs_by_id: dict[str, _Backoff] = field(default_factory=dict)
 
     def note_leaving(self, worker_id: str, now: float, *, known_for_s: float = 0.0) -> bool:
-        """A worker leaves; True if that is news. A life that leaves never takes that back.
+        """Record that a worker is leaving; return True if that is new.
 
-        ``known_for_s`` is how long it may have been known elsewhere.
+        A leaving instance never becomes available again. ``known_for_s`` is how long ago another
+        box may have learned of it.
         """
         if worker_id in self.leaving_by_id:
             return False
@@ -76,9 +81,10 @@
         return True
 
     def note_backoff(self, worker_id: str, rest_s: float, now: float) -> None:
-        """A worker wants nothing for a while; the later end counts if it asked before.
+        """Record that a worker wants no requests for a while.
 
-        What was sent during the rest that it asked for before still counts against this one.
+        If a backoff is already running, the later end counts, and requests sent during it still
+        count against the limit.
         """
         backoff = self._backoffs_by_id.get(worker_id)
         if backoff is None or backoff.until <= now:
@@ -88,17 +94,20 @@
         backoff.until = max(backoff.until, now + rest_s)
 
     def note_sent(self, worker_id: str, now: float) -> None:
-        """Something is sent to a worker; it counts if the worker rests."""
+        """Count a request sent to a worker, if the worker is in backoff."""
         backoff = self._backoffs_by_id.get(worker_id)
         if backoff is not None and now < backoff.until:
             backoff.sent += 1
 
     def is_leaving(self, worker_id: str) -> bool:
-        """Whether a worker said that it leaves."""
+        """Return whether a worker announced that it is leaving."""
         return worker_id in self.leaving_by_id
 
     def in_backoff(self, now: float) -> set[str]:
-        """The workers that rest; mostly none, and looked at for each choice of a worker."""
+        """Return the ids of the workers in backoff.
+
+        This is called for each choice of a worker, and the result is usually empty.
+        """
         if not self._backoffs_by_id:
             return set()
         return {
@@ -106,23 +115,23 @@
         }
 
     def backoff_left_s(self, worker_id: str, now: float) -> float:
-        """For how long a worker still wants nothing from this box; 0 if it takes work."""
+        """Return the remaining backoff of a worker in seconds; 0 if it accepts requests."""
         backoff = self._backoffs_by_id.get(worker_id)
         return 0.0 if backoff is None else max(0.0, backoff.until - now)
 
     def active_advice(self, worker_id: str, now: float) -> str:
-        """What a worker wants at the moment, for logs; empty if it told no wish."""
+        """Return a worker's present announcement for the log; empty if there is none."""
         if self.is_leaving(worker_id):
             return "leaving"
         return "rest" if self.backoff_left_s(worker_id, now) > 0.0 else ""
 
     def may_send_in_backoff(self, worker_id: str, now: float) -> bool:
-        """Whether a resting worker may get a request that nothing else can serve."""
+        """Return whether a worker may get a request that no other can serve."""
         backoff = self._backoffs_by_id.get(worker_id)
         return backoff is None or now >= backoff.until or backoff.sent < MAX_REQUESTS_IN_BACKOFF
 
     def sweep(self, now: float, *, listed: Container[str]) -> None:
-        """Forget rests that are over, and wishes of workers that have long been gone."""
+        """Forget backoffs that are over, and leaving workers that have long been unlisted."""
         self._drop_expired_backoffs(now)
         old = [
             worker_id
--- a/src/croftchute/systems/worker_choice.py
+++ b/src/croftchute/systems/worker_choice.py
@@ -1,4 +1,4 @@
-"""Which worker takes a request: the least loaded of those that did not fail lately."""
+"""Choose the worker for a request: the least loaded one without recent failures."""
 
 from __future__ import annotations
 
@@ -13,35 +13,40 @@
 from croftchute.tables.routing import Route, Stage
 
 FAILURE_COST = 1.0
-"""Cost of one failure held against a worker, in full workers: others are tried first."""
+"""Cost of one recent failure, in units of a fully loaded worker, so that other workers are tried
+first."""
 
 PEER_FAILURE_COST = 0.4
-"""The same of one that another box told of: its news are older, and may be of its own links."""
+"""Cost of one failure reported by another box. It counts less because the report is older and the
+fault may lie in that box's own links."""
 
 MAX_PEER_FAILURES = 4.0
-"""Most failures of peers that count: many boxes see the same crash."""
+"""Most peer failures that count: many boxes see the same crash."""
 
 TYPICAL_DECODE_TOKENS = 5000
-"""Decode tokens that a request of another box is taken to hold: its size is not told."""
+"""Assumed KV cache tokens of another box's request, since peers don't report its size."""
 
 OTHER_HALL_COST = 0.12
-"""Cost of a worker in another hall: as much as a few requests at one nearby."""
+"""Cost of a worker in another hall, as much as a few requests at one in the same hall."""
 
 LATENCY_COST = 0.5
-"""Cost of taking twice as long as workers usually do."""
+"""Cost of taking twice the usual time."""
 
 MAX_CANDIDATES = 12
-"""Workers looked at for one choice in a large service: more find hardly better ones. With an
-affinity they are the same ones for each try, so that a box that knows nothing of an earlier try
-finds the worker that keeps its prompt."""
+"""Workers compared for one choice in a large service; comparing more improves the choice little.
+With an affinity key, every attempt compares the same workers, so a box that doesn't know of an
+earlier attempt still finds the worker that has the prompt cached."""
 
 COST_DIGITS = 2
-"""Digits of a cost that decide: smaller differences are ties, broken at random."""
+"""Decimal digits of a cost that are compared; smaller differences are ties, broken at random."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class ChoiceRecord:
-    """Why one worker was chosen; goes to the log. ``end`` is None if it was chosen by cost."""
+    """Why a worker was chosen, for the log.
+
+    ``end`` is None if the worker was chosen by cost.
+    """
 
     worker: str
     cost: float
@@ -54,20 +59,20 @@
 
 
 class PeerView(Protocol):
-    """What other boxes told of a worker."""
+    """What other boxes reported about a worker."""
 
     def in_flight(self, worker_id: str, now: float) -> int:
-        """What they have open there."""
+        """Return the number of requests that other boxes have open at the worker."""
         ...
 
     def failures(self, worker_id: str, now: float) -> float:
-        """What they hold against it."""
+        """Return the failure scores that other boxes report for the worker."""
         ...
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class ChoiceContext:
-    """What a choice is made by, besides the workers themselves."""
+    """What a choice depends on besides the workers themselves."""
 
     zone: str
     peers: PeerView
@@ -76,10 +81,10 @@
 
 
 def other_boxes_load(tracked: TrackedWorker, context: ChoiceContext, now: float) -> float:
-    """Requests of other boxes at a worker.
+    """Return the number of requests that other boxes have at a worker.
 
-    What peers told is some hundred milliseconds old: it says something of streams, which last for
-    seconds; for short work it would send all boxes to the same worker.
+    Peer reports are a few hundred milliseconds old. They are useful for streams, which last for
+    seconds; for short requests they would make all boxes choose the same worker.
     """
     running = tracked.other_boxes_running(now)
     if tracked.worker.stage is Stage.DECODE:
@@ -88,7 +93,7 @@
 
 
 def cost_of(tracked: TrackedWorker, context: ChoiceContext, now: float) -> float:
-    """The cost of giving a worker one more request, in units of a full worker."""
+    """Return the cost of one more request at a worker, in units of a fully loaded worker."""
     worker = tracked.worker
     elsewhere = other_boxes_load(tracked, context, now)
     cost = (tracked.in_flight + elsewhere) / max(1, worker.slots)
@@ -114,9 +119,10 @@
     rng: random.Random,
     affinity: str = "",
 ) -> tuple[TrackedWorker, ChoiceRecord] | None:
-    """The cheapest candidate that is not to be avoided; ties are broken at random.
+    """Return the cheapest candidate that is not in ``avoid``; ties are broken at random.
 
-    Of many candidates some are looked at: any, or those that ``affinity`` names.
+    Of many candidates only some are compared: a random sample, or those that rank first for
+    ``affinity``.
     """
     left = [tracked for tracked in candidates if tracked.worker.id not in avoid]
     if not left:
@@ -143,7 +149,7 @@
 
 
 def rank_by_affinity(candidates: Sequence[TrackedWorker], affinity: str) -> list[TrackedWorker]:
-    """Workers in the order in which a text prefers them, alike at all boxes (rendezvous hash)."""
+    """Return the workers ordered by rendezvous hash of a key, in the same order on all boxes."""
     return sorted(
         candidates, key=lambda tracked: rendezvous_weight(affinity, tracked.worker.id), reverse=True
     )
@@ -152,7 +158,7 @@
 def describe_choice(
     tracked: TrackedWorker, context: ChoiceContext, now: float, *, candidates: int
 ) -> ChoiceRecord:
-    """What is known of a chosen worker, for the log."""
+    """Return the record of a chosen worker for the log."""
     return ChoiceRecord(
         worker=tracked.worker.id,
         cost=round(cost_of(tracked, context, now), 3),
@@ -165,7 +171,7 @@
 
 
 def pick_service(route: Route, rng: random.Random) -> str:
-    """One of the route's services, by weight.
+    """Return one of the route's services, chosen at random by weight.
 
     >>> from croftchute.tables.routing import RouteKind, WeightedService
     >>> one = Route(name="r", host="h", prefix="/", kind=RouteKind.ONCE, timeout_s=1,
--- a/src/croftchute/systems/worker_limits.py
+++ b/src/croftchute/systems/worker_limits.py
@@ -1,7 +1,7 @@
-"""Which workers name a limit: the requests a second that they take from all boxes together.
+"""The limits that workers set: requests per second that they accept from all boxes together.
 
-Kept by life, as answers name it and as other boxes tell. Pure state; times are seconds of a steady
-clock.
+Limits are kept per instance, from the workers' answers and from other boxes' notices. Methods do no
+I/O; times are seconds of a monotonic clock.
 """
 
 from __future__ import annotations
@@ -14,30 +14,32 @@
 from croftchute.tables.peers import NOT_OMITTED, LimitNotice
 
 LIMIT_END_DELAY_S = 4.0
-"""Seconds since a limit was last named after which an answer that leaves it out ends it. Answers
-overtake one another, and some kinds of them may not name it: one alone says little."""
+"""Seconds after the last answer with a limit before an answer without one ends the limit. Answers
+may arrive out of order, and some kinds of answer may omit the limit, so a single one proves
+little."""
 
 UNLISTED_TTL_S = 600.0
-"""Seconds for which the limit of a worker that is not listed is kept: its entry may come back, from
-a copy of the store or after an outage, while it is still in need."""
+"""Seconds for which the limit of an unlisted worker is kept. Its entry may come back from a copy of
+the store or after an outage while the limit still applies."""
 
 MAX_LIMITED_WORKERS = 4096
-"""Most lives of which a limit is kept: nearly twice the workers that docs/CAPACITY.md works out."""
+"""Most instances of which a limit is kept: nearly twice the workers that docs/CAPACITY.md
+derives."""
 
 ECHO_TOLERANCE_S = 0.05
-"""Seconds by which a naming that another box tells of must be newer than the one that is known, if
-both name the same: what goes round among boxes gets older by less than the time that passes, and
-would seem newer each time."""
+"""Seconds by which another box's report must be newer than the known one if both give the same
+limit. A report that circulates among boxes ages by less than the elapsed time and would otherwise
+seem newer each time."""
 
 ENDED_LIMIT_TTL_S = 10.0
-"""Seconds for which it is remembered that a limit is over: other boxes may still tell of it."""
+"""Seconds for which an ended limit is remembered, as other boxes may still report it."""
 
 
 @dataclass(kw_only=True, slots=True)
 class ReportedLimit:
-    """A limit as it was named last, and the first answer since then that leaves it out.
+    """A limit as last reported, and the first later answer that omits it.
 
-    ``blocked_until`` is when the worker takes a call of this box again, as far as is known.
+    ``blocked_until`` is when the worker next accepts a call of this box, as far as is known.
     """
 
     per_s: float
@@ -47,22 +49,22 @@
     is_end_reported: bool = False
 
     def is_over(self, now: float) -> bool:
-        """Whether the worker takes any number of requests again."""
+        """Return whether the limit has ended."""
         return self.omitted_at <= now and now - self.reported_at >= LIMIT_END_DELAY_S
 
 
 @dataclass(kw_only=True)
 class WorkerLimits:
-    """The limits of all lives of workers that named one."""
+    """The limits of all worker instances that reported one."""
 
     by_id: dict[str, ReportedLimit] = field(default_factory=dict)
 
     def note_limit(
         self, worker_id: str, per_s: float, now: float, *, known_for_s: float = 0.0
     ) -> bool:
-        """A worker names a limit; True if that is news, and not only named again.
+        """Record a limit; return True if it is new or has changed.
 
-        ``known_for_s`` is how long ago it was named, where another box tells of it.
+        ``known_for_s`` is the age of the report, if it comes from another box.
         """
         reported_at = now - known_for_s
         known = self.by_id.get(worker_id)
@@ -82,26 +84,26 @@
         return is_news
 
     def note_no_limit(self, worker_id: str, now: float, *, known_for_s: float = 0.0) -> None:
-        """An answer of a worker names no limit; it matters for one that named one before."""
+        """Record an answer without a limit, if the worker had reported one before."""
         known = self.by_id.get(worker_id)
         omitted_at = now - known_for_s
         if known is not None and omitted_at > known.reported_at:
             known.omitted_at = min(known.omitted_at, omitted_at)
 
     def limit_of(self, worker_id: str, now: float) -> float | None:
-        """The requests a second that a worker takes in all; None if it names no limit."""
+        """Return the requests per second that a worker accepts; None if it has no limit."""
         known = self.by_id.get(worker_id)
         return None if known is None or known.is_over(now) else known.per_s
 
     def blocked_s(self, worker_id: str, now: float) -> float:
-        """For how long a worker takes no call of this box, as its limit is reached."""
+        """Return for how long a worker accepts no call of this box because of its limit."""
         known = self.by_id.get(worker_id)
         if known is None or known.is_over(now):
             return 0.0
         return max(0.0, known.blocked_until - now)
 
     def in_force(self, now: float) -> dict[str, float]:
-        """All limits that hold, by worker."""
+        """Return all limits in force, by worker id."""
         return {
             worker_id: known.per_s
             for worker_id, known in self.by_id.items()
@@ -109,7 +111,7 @@
         }
 
     def notices(self, now: float, rng: random.Random, *, most: int) -> tuple[LimitNotice, ...]:
-        """What other boxes are told: any ``most`` of them if there are more, also those over."""
+        """Return at most ``most`` limits for other boxes, ended ones included, chosen at random."""
         told = list(self.by_id.items())
         if len(told) > most:
             told = rng.sample(told, most)
@@ -124,9 +126,9 @@
         )
 
     def apply_notice(self, notice: LimitNotice, now: float) -> bool:
-        """Take in what another box tells of a worker; True if that is news.
+        """Apply another box's notice about a worker; return True if it is new.
 
-        Of a limit that is over nothing is taken over but its end.
+        Of an ended limit only the end is taken over.
         """
         was_left_out = notice.left_out_s >= 0.0
         is_over = was_left_out and notice.named_s >= LIMIT_END_DELAY_S
@@ -139,7 +141,7 @@
         return is_news and not is_over
 
     def sweep(self, now: float, *, listed: Container[str]) -> list[str]:
-        """Forget what is long over; returns workers whose limits have just come to an end."""
+        """Forget limits that ended long ago; return the workers whose limits have just ended."""
         for worker_id, known in list(self.by_id.items()):
             silent_s = now - known.reported_at
             is_gone = worker_id not in listed and silent_s > UNLISTED_TTL_S
@@ -153,6 +155,6 @@
         return news
 
     def _evict_oldest(self) -> None:
-        """Let go of the limit that has been known longest, if too many are kept."""
+        """Drop the oldest limit if too many are kept."""
         if len(self.by_id) >= MAX_LIMITED_WORKERS:
             del self.by_id[next(iter(self.by_id))]
--- a/src/croftchute/systems/worker_table.py
+++ b/src/croftchute/systems/worker_table.py
@@ -1,7 +1,7 @@
-"""What the router believes about each worker: listed state, own requests, recent failures.
+"""The router's table of workers: listed state, own requests and recent failures.
 
-Pure state: every function that decides takes the present time. Times are seconds of a
-monotonic clock.
+The table does no I/O and takes the present time as an argument. Times are seconds of a monotonic
+clock.
 """
 
 from __future__ import annotations
@@ -18,40 +18,46 @@
 from croftchute.tables.routing import Stage, Worker, WorkerState
 
 LATENCY_EWMA_WEIGHT = 0.3
-"""Weight of the newest answer in a worker's usual time: some answers make it."""
+"""Weight of the newest answer in a worker's moving average of latency; a few answers determine
+it."""
 
 GAP_EWMA_WEIGHT = 0.1
-"""Weight of the newest pause between a stream's parts in a worker's usual one: some ten make it."""
+"""Weight of the newest gap in a worker's moving average of gaps between stream chunks; about ten
+gaps determine it."""
 
 MAX_FAILURE_SCORE = 8.0
-"""Highest failure score: it is under a tenth after four half-lives."""
+"""Upper bound of a failure score; a capped score falls below a tenth of it after four
+half-lives."""
 
 MASS_EXPIRY_GRACE_S = 2.0
-"""Seconds for which workers whose entries lapsed together are used: the living are back by then."""
+"""Seconds for which workers are still used after their entries expired together. Live workers
+register again within about that time."""
 
 MASS_EXPIRY_RATIO = 0.5
-"""Share of a service's entries that must go at once to count as lapsed."""
+"""Share of a service's entries that must disappear at once to count as a mass expiry."""
 
 MIN_MASS_EXPIRY = 2
-"""Fewest entries that count as lapsed: one that goes alone has left."""
+"""Fewest entries that count as a mass expiry; a single entry that disappears means that its worker
+left."""
 
 STAGE_CHANGE_DEDUP_S = 15.0
-"""Seconds after which a worker's change to the same stage would be another one: an order that is
-carried out is over within ten."""
+"""Seconds for which repeated reports of the same stage change count as one. A change is complete
+within ten seconds, so a later report is a new change."""
 
 MAX_REPORTED_REQUESTS = 1_000_000
-"""Most requests running or waiting that a worker is believed to have: more is no load."""
+"""Largest number of running or waiting requests accepted from a worker's load report; larger values
+are ignored as invalid."""
 
 UNREACHABLE_S = 1.5
-"""Seconds for which a worker to which no connection came up is passed over where it can be: a try
-costs a caller the time of one connection, and cuts and crashes last for some seconds."""
+"""Seconds for which a worker that refused a connection is avoided where possible. Each attempt
+costs a caller one connection timeout, and network cuts and crashes last for some seconds."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class _WorkersByAvailability:
-    """The workers of a service by how they may be used: at will, as a last resort, or not now.
+    """The workers of a service: usable, last resort, in backoff, or at their own limit.
 
-    Of those that are ``at_limit`` a limit that they name for all boxes is reached.
+    Workers ``at_limit`` have reached the limit that they set for all boxes together.
     """
 
     listed: list[TrackedWorker] = field(default_factory=list)
@@ -62,11 +68,11 @@
 
 @dataclass(kw_only=True)
 class WorkerTable:
-    """All lives of workers by id; ``revision`` is the store's revision of the newest change.
+    """All known worker instances by id.
 
-    ``mass_expiry_grace_s`` is for how long workers are used whose entries lapsed together, as they
-    do when the store was away: those that live write themselves down again within about two
-    seconds.
+    ``revision`` is the store's revision of the newest change. ``mass_expiry_grace_s`` is how long
+    workers stay usable after their entries expired together, as happens after a store outage: live
+    workers register again within about two seconds.
     """
 
     revision: int = 0
@@ -80,15 +86,15 @@
     _ended: list[Worker] = field(default_factory=list)
 
     def upsert(self, worker: Worker, now: float, item: StoredItem | None = None) -> bool:
-        """Take in a listed worker; True if something besides its age has changed.
+        """Add or update a listed worker; return True if anything but its age changed.
 
-        An entry that is older than what is known already changes nothing.
+        An entry older than the known one is ignored.
         """
         current = self._current_by_name.get(worker.list_name)
         if current is not None and _is_older(item, current):
             return False
         if worker.state is WorkerState.DRAINING:
-            # Since when is not told: as a last resort it could get work too late.
+            # The list doesn't say since when: work sent as a last resort could come too late.
             self.advice.note_leaving(worker.id, now, known_for_s=math.inf)
         if current is not None and current.worker.id != worker.id:
             self._end_life(current, now)
@@ -119,9 +125,9 @@
         return is_changed
 
     def note_unreadable(self, name: str, item: StoredItem) -> bool:
-        """The newest entry of a worker names none: no new work goes there until one does again.
+        """Stop sending new work to a worker whose newest entry can't be parsed.
 
-        True if the worker was in use until now.
+        A later valid entry makes it usable again. Returns True if the worker was in use until now.
         """
         current = self._current_by_name.get(name)
         if current is None or _is_older(item, current):
@@ -132,17 +138,18 @@
         return was_readable and current.gone_at is None
 
     def take_ended(self) -> list[Worker]:
-        """Lives that ended since the last call, as their workers have begun another one."""
+        """Return the instances that were replaced by a restart since the last call."""
         ended, self._ended = self._ended, []
         return ended
 
     def remove(
         self, names: Collection[str], now: float, *, is_mass_expiry: bool = False
     ) -> list[str]:
-        """Mark workers as gone from the list; they are forgotten after a grace period.
+        """Mark workers as removed from the list; they are forgotten after a grace period.
 
-        Entries of half of a service that go at once have lapsed, rather than been taken away, and
-        so have all with ``is_mass_expiry``. Returns the ids of the lives that are gone.
+        If at least half of a service's entries disappear at once, or with ``is_mass_expiry``, the
+        entries are taken as expired and not as removed on purpose. Returns the ids of the removed
+        instances.
         """
         known = (self._current_by_name.get(name) for name in names)
         gone = [tracked for tracked in known if tracked is not None and tracked.gone_at is None]
@@ -156,21 +163,21 @@
         return [tracked.worker.id for tracked in gone]
 
     def keep_only(self, names: set[str], now: float, *, is_mass_expiry: bool = False) -> list[str]:
-        """Mark all workers as gone that a whole listing did not name; returns those.
+        """Mark all workers that a complete listing did not contain as removed; return their ids.
 
-        ``is_mass_expiry``: the store came back from an older copy, so those that live write
-        themselves down again.
+        ``is_mass_expiry``: the store was restored from an older copy, so live workers register
+        again.
         """
         unnamed = [name for name in self._current_by_name if name not in names]
         return self.remove(unnamed, now, is_mass_expiry=is_mass_expiry)
 
     def is_mass_expired(self, worker_id: str) -> bool:
-        """Whether a worker's entry went together with those of others of its service."""
+        """Return whether a worker's entry expired together with others of its service."""
         tracked = self.tracked_by_id.get(worker_id)
         return tracked is not None and tracked.is_mass_expired
 
     def sweep(self, now: float) -> list[str]:
-        """Forget workers that left the list some time ago and run nothing of ours."""
+        """Forget workers that left the list some time ago and run none of this box's requests."""
         old = [
             worker_id
             for worker_id, tracked in self.tracked_by_id.items()
@@ -189,15 +196,16 @@
     def usable(
         self, service: str, now: float, *, stage: Stage | None = None
     ) -> list[TrackedWorker]:
-        """Workers that new work may go to; leaving, just gone and resting ones if no other is left.
+        """Return the workers that new work may go to.
 
-        Workers whose entries lapsed count like listed ones: all boxes would otherwise turn to the
-        first that writes itself down again.
+        Workers that are leaving, were just removed or are in backoff are returned only if no other
+        is left. Workers whose entries expired together count as listed; otherwise all boxes would
+        send their work to the first one that registers again.
         """
         by_availability = self._by_availability(service, now, stage)
         if by_availability.listed or by_availability.last_resorts:
             return by_availability.listed or by_availability.last_resorts
-        # A stream takes two sendings, an ask for room and itself: engines that rest get none.
+        # A stream takes two requests, so engines in backoff, which may get one, get no stream.
         return [
             tracked
             for tracked in by_availability.in_backoff
@@ -206,9 +214,9 @@
         ]
 
     def backoff_left_s(self, service: str, now: float, *, stage: Stage | None = None) -> float:
-        """When the first worker takes work again, if all that could do it rest; else 0.
+        """Return the seconds until the first worker accepts work again; 0 if one does now.
 
-        A worker whose limit is reached rests until it takes another call.
+        A worker that has reached its own limit counts as unavailable until it accepts another call.
         """
         by_availability = self._by_availability(service, now, stage)
         if by_availability.listed or by_availability.last_resorts:
@@ -250,7 +258,7 @@
         self._current_by_name[worker.list_name] = tracked
 
     def _end_life(self, tracked: TrackedWorker, now: float) -> None:
-        """A worker has begun another life: nothing of this one is there any more."""
+        """Mark an instance as ended because its worker has restarted."""
         if tracked.gone_at is None:
             tracked.gone_at = now
         tracked.has_ended = True
@@ -261,25 +269,25 @@
         return gone >= MIN_MASS_EXPIRY and gone >= MASS_EXPIRY_RATIO * listed
 
     def of_service(self, service: str) -> list[TrackedWorker]:
-        """All workers of a service, whatever their state."""
+        """Return all workers of a service, whatever their state."""
         return list(self._tracked_by_service.get(service, {}).values())
 
     def note_sent(self, worker_id: str, tokens: int) -> None:
-        """Count a request that is about to go to a worker."""
+        """Count a request that is about to be sent to a worker."""
         tracked = self.tracked_by_id.get(worker_id)
         if tracked is not None:
             tracked.in_flight += 1
             tracked.tokens_in_flight += tokens
 
     def note_request_ended(self, worker_id: str, tokens: int) -> None:
-        """Count a request that is over at a worker."""
+        """Count a request that has ended at a worker."""
         tracked = self.tracked_by_id.get(worker_id)
         if tracked is not None:
             tracked.in_flight -= 1
             tracked.tokens_in_flight -= tokens
 
     def note_answer(self, worker_id: str, latency_s: float, now: float) -> None:
-        """A worker did its work in time; this clears half of the failures held against it."""
+        """Record an answer in time: update the latency and halve the failure score."""
         tracked = self.tracked_by_id.get(worker_id)
         if tracked is None:
             return
@@ -290,7 +298,7 @@
         tracked.latency_s += LATENCY_EWMA_WEIGHT * (latency_s - tracked.latency_s)
 
     def note_chunk_gap(self, worker_id: str, pause_s: float) -> None:
-        """A part of a stream came some time after the one before it."""
+        """Record the time between two chunks of a stream."""
         tracked = self.tracked_by_id.get(worker_id)
         if tracked is None:
             return
@@ -299,13 +307,13 @@
         tracked.pause_s += GAP_EWMA_WEIGHT * (pause_s - tracked.pause_s)
 
     def note_rejected(self, worker_id: str, now: float) -> None:
-        """A worker said that it did not run a request: it is full, or leaving."""
+        """Record that a worker rejected a request without running it: it is full or leaving."""
         tracked = self.tracked_by_id.get(worker_id)
         if tracked is not None:
             tracked.rejected_at = now
 
     def note_failure(self, worker_id: str, weight: float, now: float) -> float:
-        """Hold a failure against a worker; returns its score afterwards."""
+        """Add to a worker's failure score and return the new score."""
         tracked = self.tracked_by_id.get(worker_id)
         if tracked is None:
             return 0.0
@@ -316,9 +324,9 @@
     def note_load(
         self, worker_id: str, running: int, waiting: int, now: float, *, sent_since: int = 0
     ) -> None:
-        """Take in the load that a worker told with an answer.
+        """Record the load that a worker reported with an answer.
 
-        ``sent_since`` are open requests of this box that may have come too late to be counted.
+        ``sent_since`` is the number of this box's open requests that the report may not include.
         """
         tracked = self.tracked_by_id.get(worker_id)
         if tracked is not None and max(running, waiting) <= MAX_REPORTED_REQUESTS:
@@ -328,21 +336,22 @@
             tracked.in_flight_at_load = tracked.in_flight - sent_since
 
     def note_full(self, worker_id: str, until: float) -> None:
-        """A worker had no room: do not ask it again before some time."""
+        """Record that a worker has no room until the given time."""
         tracked = self.tracked_by_id.get(worker_id)
         if tracked is not None:
             tracked.full_until = until
 
     def note_unreachable(self, worker_id: str, now: float) -> None:
-        """No connection to a worker came up: what can do without it should, for a while."""
+        """Avoid a worker for a while after a connection to it failed."""
         tracked = self.tracked_by_id.get(worker_id)
         if tracked is not None:
             tracked.unreachable_until = now + UNREACHABLE_S
 
     def note_changing(self, worker_id: str, stage: Stage, now: float, *, for_s: float) -> bool:
-        """A worker changes its stage and takes no work meanwhile; True if that is news.
+        """Record a stage change, during which a worker takes no work; return True if new.
 
-        The same change is news once: it is passed on from box to box, and comes back older.
+        Boxes pass the report on to each other, so the same change comes back later and is ignored
+        then.
         """
         tracked = self.tracked_by_id.get(worker_id)
         if tracked is None or tracked.worker.stage is stage:
@@ -358,14 +367,14 @@
         return True
 
     def note_displaced(self, worker_id: str) -> None:
-        """Another worker answered at this one's address: it is not there any more."""
+        """Record that another worker answered at this worker's address."""
         tracked = self.tracked_by_id.get(worker_id)
         if tracked is not None:
             tracked.displaced = True
 
 
 def _is_older(item: StoredItem | None, tracked: TrackedWorker) -> bool:
-    """Whether an entry is older than the one that is believed: late news change nothing."""
+    """Return whether an entry is older than the known one and must be ignored."""
     if item is None or tracked.item is None:
         return False
     return item.revision < tracked.item.revision
