--- a/src/croftchute/systems/crash_guard.py
+++ b/src/croftchute/systems/crash_guard.py
@@ -1,7 +1,7 @@
-"""Keeps requests that end engines from being run without an end; used by the entry of a box.
+"""Stops requests that crash engines from being retried without end; used by a box's entry.
 
-Engines are configured by id and tell no start of theirs, so an engine that ends again some seconds
-later counts as another life of it.
+Engines have configured ids and don't report restarts, so a crash of the same engine some seconds
+later counts as another instance.
 """
 
 from __future__ import annotations
@@ -12,30 +12,30 @@
 from croftchute.tables.requests import AttemptEnd, Request
 
 CRASH_DEDUP_S = 10.0
-"""Seconds of Unix time in which ends of one engine count as one: boxes see the same end within
-milliseconds, and an engine takes longer to load its model. One end in a thousand falls on the edge
-between two and may count twice."""
+"""Length in seconds of the Unix time slots in which crashes of one engine count as one. Boxes see
+the same crash within milliseconds, and an engine takes longer than a slot to load its model. About
+one crash in a thousand falls on a slot boundary and may count twice."""
 
 MAX_NOTICES = 64
-"""Most ends in one message, some 2 KB."""
+"""Most crash notices in one message, about 2 KB."""
 
 NOTICES_PER_HEARTBEAT = 6
-"""Ends told with a heartbeat: 0.2 KB, and only while such requests are about."""
+"""Crash notices sent with a heartbeat: 0.2 KB, and only while there are such requests."""
 
 
 class CrashGuard:
-    """The crash records of a box, as its entry and its peers see them."""
+    """The crash records of a box, as used by its entry and its peers."""
 
     def __init__(self) -> None:
         self.records = CrashRecords()
         self._unsent_digests: list[str] = []
 
     def refusal_left_s(self, request: Request, now: float) -> float:
-        """For how many seconds a request is refused; 0 if it is not."""
+        """Return for how many seconds a request is still refused; 0 if it is not."""
         return self.records.refusal_left_s(request.digest, now) if request.digest else 0.0
 
     def note(self, request: Request, end: AttemptEnd, now: float) -> None:
-        """Take in how an attempt ended."""
+        """Record how an attempt ended."""
         if not request.digest:
             return
         if end.ok:
@@ -47,18 +47,18 @@
             self._unsent_digests.append(request.digest)
 
     def apply_notices(self, news: CrashNews, now: float) -> None:
-        """Take in what another box tells; what has a request refused here is told on."""
+        """Apply another box's notices; forward those that cause a refusal here."""
         self._unsent_digests += self.records.merge(news.notices, now)
 
     def take_outgoing(self, now: float) -> list[CrashNews]:
-        """What is to be told at once to other boxes."""
+        """Return the messages to send to other boxes at once."""
         digests, self._unsent_digests = self._unsent_digests, []
         notices = [notice for digest in digests for notice in self.records.notices(digest, now)]
         starts = range(0, len(notices), MAX_NOTICES)
         return [CrashNews(notices=tuple(notices[n : n + MAX_NOTICES])) for n in starts]
 
     def heartbeat_messages(self, now: float) -> list[CrashNews]:
-        """What goes with a heartbeat, for boxes that missed it or have just started."""
+        """Return what goes with a heartbeat, for boxes that missed earlier messages."""
         self.records.sweep(now)
         notices = self.records.next_notices(now, NOTICES_PER_HEARTBEAT)
         return [CrashNews(notices=tuple(notices))] if notices else []
--- a/src/croftchute/systems/crash_records.py
+++ b/src/croftchute/systems/crash_records.py
@@ -1,12 +1,11 @@
-"""Which requests end the workers that run them, by what this box and others saw.
+"""Track which requests crash the workers that run them, from what this box and others saw.
 
-A worker that ends leaves every request on it broken off, and which of them ended it can't be told
-from one end. The request that did it is there again at the next one; so a request is refused once
-three workers have ended under it. Most others that were caught beside it are told apart by what
-explains their losses: ends that stand on the record of a request with more of them don't count
-against one with fewer.
+A crash breaks off every request on the worker, and a single crash doesn't show which of them caused
+it. The request that did is present again at the next crash, so a request is refused once three
+workers have crashed under it. Bystanders are told apart by explanation: crashes on the record of a
+request with more crashes don't count against a request with fewer.
 
-Pure state, bounded. Times are seconds of the box's steady clock.
+Records are bounded and no I/O is done here. Times are seconds of the box's monotonic clock.
 """
 
 from __future__ import annotations
@@ -19,39 +18,40 @@
 from croftchute.tables.crashes import CrashNotice
 
 CRASHES_TO_REFUSE = 3
-"""Workers that ended under a request after which it is refused: the users' own bound. Two would
-refuse bystanders: of 40 streams caught beside such a request on a logged day, 15 lost two workers,
-and one, which its caller repeated, three."""
+"""Crashes after which a request is refused; the users set this bound. Two would refuse bystanders:
+of 40 streams that were on a crashing worker beside such a request on a logged day, 15 lost two
+workers, and one, which its caller repeated, lost three."""
 
 BASE_REFUSAL_S = 600.0
-"""Seconds for which a request is refused after the third end, doubled with each further one: what
-made it end workers is mended by people, in minutes to hours. When the time is over it may run once
-more, and one more end has it refused again: a request that comes for ever costs two workers in the
-first hour after the third, and one an hour later."""
+"""Seconds for which a request is refused after the third crash; each further crash doubles it.
+People fix the cause in minutes to hours. After the refusal the request may run once more, and one
+more crash refuses it again: a request that is repeated for ever costs two workers in the first hour
+after the third crash, and one per hour after that."""
 
 MAX_REFUSAL_S = 3600.0
-"""Longest time in seconds for which a request is refused after an end."""
+"""Longest refusal after a crash, in seconds."""
 
 RECORD_TTL_S = 600.0
-"""Seconds for which ends are kept that refuse nothing, or nothing any more."""
+"""Seconds for which records are kept that cause no refusal, or no longer do."""
 
 MAX_RECORDS = 1024
-"""Requests of which ends are kept, some 0.6 KB each. Each takes a worker's end to be there."""
+"""Most requests with a record, about 0.6 KB each. A record is only created by a worker's crash."""
 
 MAX_CRASHES_PER_RECORD = 16
-"""Ends kept of one request, the latest: six have it refused for the longest time, and what explains
-the losses of others reaches some minutes back."""
+"""Most crashes kept per request, the latest ones. Six already give the longest refusal, and crashes
+that explain the losses of other requests are at most some minutes old."""
 
 SUCCESS_TIME_MARGIN_S = 1.0
-"""A good end that another box tells is news if it is later by this many seconds: each telling on
-makes it seem later by the time that it takes."""
+"""Seconds by which another box's report of a success must be later than the known one to count as
+new, because each hop makes the success look later by its delay."""
 
 
 @dataclass(kw_only=True, slots=True)
 class CrashRecord:
-    """The ends of workers under one request, and its own latest good end.
+    """The crashes of workers under one request, and the request's latest success.
 
-    ``suspected`` are lives that broke its answer off, and of which it is not known if they ended.
+    ``suspected`` are instances that broke off the request's answer and of which it is not yet known
+    whether they crashed.
     """
 
     ended_at_by_life: dict[str, float] = field(default_factory=dict)
@@ -60,17 +60,17 @@
 
     @property
     def lives(self) -> set[str]:
-        """What counts against the request before others' records are looked at."""
+        """The instances that count against the request before explanations are considered."""
         ended = {life for life, at in self.ended_at_by_life.items() if at > self.succeeded_at}
         return ended | self.suspected
 
     @property
     def latest_at(self) -> float:
-        """When the latest of the workers ended, or the request did well."""
+        """The time of the latest crash, or of the latest success if there is no crash."""
         return max(self.ended_at_by_life.values(), default=self.succeeded_at)
 
     def note_crash(self, life: str, at: float) -> bool:
-        """Take an end in; True if it is news. Of several tellings the earliest time is the best."""
+        """Record a crash; return True if it is new. Of several reports the earliest time counts."""
         self.suspected.discard(life)
         known_at = self.ended_at_by_life.get(life)
         if known_at is not None:
@@ -85,7 +85,7 @@
 
 
 def refusal_duration_s(lives: int) -> float:
-    """For how long after the latest end a request is refused that so many workers ended under.
+    """Return for how many seconds after the latest crash a request is refused.
 
     >>> [refusal_duration_s(lives) for lives in (2, 3, 4, 9)]
     [0.0, 600.0, 1200.0, 3600.0]
@@ -97,7 +97,7 @@
 
 @dataclass(kw_only=True)
 class CrashRecords:
-    """All requests under which workers ended lately, by digest."""
+    """The records of all requests under which workers crashed recently, by request digest."""
 
     by_digest: dict[str, CrashRecord] = field(default_factory=dict)
     _refused_until_by_digest: dict[str, float] = field(default_factory=dict)
@@ -106,30 +106,33 @@
     _round: int = 0
 
     def refusal_left_s(self, digest: str, now: float) -> float:
-        """For how many seconds from now on a request is refused; 0 if it is not."""
+        """Return for how many more seconds a request is refused; 0 if it is not."""
         return max(0.0, self._refused_until_by_digest.get(digest, -math.inf) - now)
 
     @property
     def has_refusals(self) -> bool:
-        """Whether any request may be refused: else no digest needs to be worked out."""
+        """Whether any request is refused; if not, digests need not be computed."""
         return bool(self._refused_until_by_digest)
 
     def crash_count(self, digest: str) -> int:
-        """How many workers ended under a request, as far as is known."""
+        """Return the number of known crashes under a request."""
         record = self.by_digest.get(digest)
         return len(record.ended_at_by_life) if record is not None else 0
 
-    # What this box sees.
+    # Observations of this box.
 
     def note_suspected_crash(self, digest: str, life: str, now: float) -> None:
-        """A worker broke the request's answer off; whether it ended will be known in a moment."""
+        """Record a worker that broke off a request's answer and may have crashed.
+
+        It counts as a crash until :meth:`resolve_suspicion` tells, which takes a moment.
+        """
         record = self._record(digest, now)
         if record is not None and life not in record.ended_at_by_life:
             record.suspected.add(life)
             self._update_refusals_if_needed([digest])
 
     def resolve_suspicion(self, life: str, *, ended_at: float | None) -> list[str]:
-        """Whether a doubted worker ended is known; the requests for which its end is news."""
+        """Record whether a suspected worker crashed; return the requests for which it is new."""
         suspected = [key for key, record in self.by_digest.items() if life in record.suspected]
         if ended_at is None:
             self._clear_suspicion(life, suspected)
@@ -147,7 +150,7 @@
         self._update_refusals_if_needed(digests)
 
     def note_success(self, digest: str, now: float) -> bool:
-        """The request ran to a good end, so it does not end workers; True if that is news."""
+        """Record that a request ended well, so does not crash workers; return True if new."""
         record = self.by_digest.get(digest)
         if record is None:
             return False
@@ -155,10 +158,10 @@
         self._update_refusals_if_needed([digest])
         return True
 
-    # What boxes tell one another.
+    # Exchange between boxes.
 
     def merge(self, notices: Iterable[CrashNotice], now: float) -> list[str]:
-        """Take in what another box or the store told; the requests that are refused by it."""
+        """Merge notices from another box or the store; return the requests newly refused."""
         notices = list(notices)
         digests = {notice.digest for notice in notices}
         refused = {digest for digest in digests if self.refusal_left_s(digest, now) > 0.0}
@@ -168,7 +171,7 @@
         return [key for key in digests - refused if self.refusal_left_s(key, now) > 0.0]
 
     def notices(self, digest: str, now: float) -> list[CrashNotice]:
-        """All that is known of one request."""
+        """Return all that is known about one request."""
         record = self.by_digest.get(digest)
         if record is None:
             return []
@@ -182,9 +185,9 @@
         return found
 
     def next_notices(self, now: float, most: int) -> list[CrashNotice]:
-        """Some of what is known, a further part with each call: whole requests, at least one.
+        """Return the next part of all notices: records are sent whole, at least one per call.
 
-        One that is refused comes first: boxes that missed its news would lose workers to it.
+        A refused request comes first, since boxes that missed its notice would lose workers to it.
         """
         if not self.by_digest:
             return []
@@ -201,7 +204,7 @@
         return found
 
     def sweep(self, now: float) -> None:
-        """Forget what is too old to matter."""
+        """Forget records that are too old to matter."""
         old = [
             digest
             for digest, record in self.by_digest.items()
@@ -229,7 +232,7 @@
         return record is not None and record.note_crash(notice.life, at)
 
     def _record(self, digest: str, at: float) -> CrashRecord | None:
-        """The record of a request, a new one if there is room for it or an older one gives way."""
+        """Return a request's record, creating it if there is room or an old one gives way."""
         record = self.by_digest.get(digest)
         if record is not None:
             return record
@@ -239,7 +242,7 @@
         return record
 
     def _evict_oldest(self, at: float) -> bool:
-        """Forget the oldest record that refuses nothing, if it is older than the new one."""
+        """Drop the oldest record that causes no refusal, if it is older than the new one."""
         idle = [key for key in self.by_digest if key not in self._candidates]
         if not idle:
             return False
@@ -250,9 +253,9 @@
         return True
 
     def _update_refusals_if_needed(self, digests: Iterable[str]) -> None:
-        """Judge anew if one of the requests that have changed is refused, or may be now.
+        """Recompute the refusals if a changed request is a candidate or was one.
 
-        Each worker that ends changes as many records as it ran requests; few of them matter.
+        A crash changes as many records as the worker ran requests; few of them are candidates.
         """
         is_due = False
         for digest in digests:
@@ -268,10 +271,10 @@
             self._update_refusals()
 
     def _update_refusals(self) -> None:
-        """Work out which requests are refused, those with the most ends first.
+        """Compute which requests are refused, starting with those with the most crashes.
 
-        Ends of requests with more of them explain those of requests with fewer; requests with
-        equally many are judged side by side, as either may be the one.
+        Crashes of a request explain those of requests with fewer. Requests with equally many are
+        judged together, since each of them may be the cause.
         """
         lives_by_digest = {digest: self.by_digest[digest].lives for digest in self._candidates}
         heavy = sorted(lives_by_digest, key=lambda key: -len(lives_by_digest[key]))
@@ -289,10 +292,11 @@
 
 
 def _is_refused(lives: set[str], explained: set[str]) -> bool:
-    """Whether a request is refused, of whose ends some are explained by others' records.
+    """Return whether a request is refused, given the crashes that other records explain.
 
-    One end more than three is enough if nothing explains it. Of several such requests that come
-    side by side each may stand at the others' ends: without this one of them ends three more.
+    More than three crashes are enough if at least one is unexplained. When several crashing
+    requests run side by side, each may be present at the others' crashes; without this rule one of
+    them would crash three more workers.
     """
     left = len(lives - explained)
     return left >= CRASHES_TO_REFUSE or (left > 0 and len(lives) > CRASHES_TO_REFUSE)
