--- a/src/croftchute/systems/allowance_pool.py
+++ b/src/croftchute/systems/allowance_pool.py
@@ -1,10 +1,10 @@
-"""A pool of the shares that boxes lend: one place that says yes or no under a limit of all boxes.
+"""A pool of the shares that boxes lend, which decides for all of them under a shared limit.
 
-Each box owns one part in as many as there are boxes of every limit, and lends it to a pool under a
-lease. A pool gives out what the shares lent to it bring in. It knows a lease to be good only as far
-as its own clock, echoed by the lender, says so: whatever is lost, late, repeated, paused or cut, a
-share never counts at two pools at a time, so all pools together give no more than the limit, as
-long as no box counts fewer boxes than there are: see ``fleet_size``.
+Each of n boxes owns 1/n of every limit and lends it to a pool under a lease. A pool grants what the
+shares lent to it accrue. It considers a lease valid only by its own clock, echoed by the lender. So
+a share never counts at two pools at a time, however messages are lost, delayed, duplicated or cut
+off and however boxes pause, and all pools together grant no more than the limit. This holds as long
+as no box counts fewer boxes than there are: see ``fleet_size``.
 """
 
 from __future__ import annotations
@@ -18,28 +18,29 @@
 from croftchute.tables.organisations import UsageLimit
 
 LEASE_S = 1.0
-"""Seconds for which a share is lent: three times between two askings, so that one may be lost and
-answers take 0.3 s. For as long nothing is lent after a start, or after the end of a pool."""
+"""Seconds for which a share is lent: three times the interval between requests, so that one may be
+lost and answers may take 0.3 s. Nothing is lent for as long after a start or after the loss of a
+pool."""
 
 RECOUNT_INTERVAL_S = 0.02
-"""Seconds between two looks at all leases, which end this much earlier for it."""
+"""Seconds between two recounts of all leases; leases end this much earlier to allow for it."""
 
 NO_SHARE_WAIT_S = 0.5
-"""Seconds to come back in where a pool has no shares at the moment: half a lease, and a round."""
+"""Seconds after which to retry if a pool has no shares now: half a lease and one round trip."""
 
 
 class HasLimit(Protocol):
-    """An organisation, or a worker that names a limit."""
+    """An organisation, or a worker that sets a limit."""
 
     @property
     def limit(self) -> UsageLimit | None:
-        """What it may use, or takes, over all boxes; None for any amount."""
+        """The use allowed over all boxes together; None if it is unlimited."""
         ...
 
 
 @dataclass(kw_only=True, slots=True)
 class _Lender:
-    """A share that is lent, and up to when what it brings in was counted; the pool's clock."""
+    """A lent share, and the time up to which its accrual was counted, by the pool's clock."""
 
     share: float
     counted_to: float
@@ -63,10 +64,10 @@
     def lend(
         self, box: str, share: float, *, echo: float, now: float, is_first: bool = False
     ) -> None:
-        """Take in a lease; ``echo`` is the time of this pool that the lender heard last.
+        """Record a lease; ``echo`` is the pool's own time as the lender last received it.
 
-        A share without an echo counts from the lender's next message on. ``is_first`` says that the
-        lender's present life lends it for the first time.
+        A share without a valid echo counts only from the lender's next message. ``is_first`` means
+        that the lender lends it for the first time since its start.
         """
         self._recount(now)
         lender = self.lenders_by_box.get(box)
@@ -86,13 +87,13 @@
         self._live_share = self.live_share(now)
 
     def live_share(self, now: float) -> float:
-        """The part of all limits that this pool gives out at the moment; 1 is the whole."""
+        """Return the part of all limits that this pool grants now; 1 is the whole."""
         return sum(
             lender.share for lender in self.lenders_by_box.values() if lender.expires_at > now
         )
 
     def grant(self, want: UsageWant, known: Mapping[str, HasLimit], now: float) -> UsageGrant:
-        """Give what a request needs, or say when to ask again."""
+        """Grant what a request needs, or return when to ask again."""
         self._recount(now)
         limit = _limit_of(want, known)
         if limit is None:
@@ -106,13 +107,13 @@
         return UsageGrant(name=want.name, units=units, wait_s=wait_s)
 
     def return_units(self, returned: UsageReturn) -> None:
-        """Put units back; the next filling bounds them by the capacity."""
+        """Put unused units back; the next fill bounds the level by the capacity."""
         bucket = self.buckets_by_name.get(returned.name)
         if bucket is not None:
             bucket.level += returned.units
 
     def sweep(self, known: Mapping[str, HasLimit], now: float) -> None:
-        """Forget lenders whose lease is long over, and buckets that are as full as unused ones."""
+        """Forget lenders whose lease ended long ago, and buckets as full as unused ones."""
         self._recount(now)
         for box, lender in list(self.lenders_by_box.items()):
             if now - lender.expires_at > LEASE_S:
@@ -129,7 +130,7 @@
         return bucket.level >= self._saved_up(limit, capacity) > 0.0
 
     def _bucket(self, name: str, limit: UsageLimit, capacity: float) -> UsageBucket:
-        """The bucket of a limit; one that was not used has saved since the pool began."""
+        """Return the bucket of a limit, created with what has accrued since the pool started."""
         bucket = self.buckets_by_name.get(name)
         if bucket is None:
             bucket = UsageBucket(
@@ -142,25 +143,25 @@
         return bucket
 
     def _saved_up(self, limit: UsageLimit, capacity: float) -> float:
-        """What is there of a limit of which nothing was used since the pool began."""
+        """Return what an unused limit has accrued since the pool started."""
         started = self.terms.start_credit(limit) * self._saved_starts
         return min(capacity, limit.rate_per_s * self._saved_seconds + started)
 
     def _fill(self, bucket: UsageBucket, limit: UsageLimit, capacity: float) -> None:
-        """Add what the lent shares have brought in since the last time."""
+        """Add what the lent shares have accrued since the last fill."""
         extra = self.terms.start_credit(limit) * (self._starts - bucket.starts)
         bucket.starts = self._starts
         bucket.fill(self._share_seconds, limit=limit, capacity=capacity, extra=extra)
 
     def _wait_s(self, missing: float, limit: UsageLimit) -> float:
-        """When so many units more will have come."""
+        """Return the seconds until the missing units have accrued."""
         pace = limit.rate_per_s * min(1.0, self._live_share)
         return NO_SHARE_WAIT_S if pace <= 0.0 else max(0.0, missing) / pace
 
     def _count(self, lender: _Lender, now: float) -> None:
-        """Count what a share brought in while its lease was good."""
+        """Count what a share accrued while its lease was valid."""
         until = min(now, lender.expires_at)
-        # Boxes that know few others lend too much each; together they still lend one limit.
+        # Boxes that know few others each lend too much; scaled, they still lend one limit.
         share = lender.share / max(1.0, self._live_share)
         seconds = share * max(0.0, until - lender.counted_to)
         lender.counted_to = max(lender.counted_to, now)
@@ -168,7 +169,7 @@
         self._saved_seconds += seconds
 
     def _recount(self, now: float) -> None:
-        """Let go of what was saved up by shares that are not lent here any more."""
+        """Count all leases and drop what was accrued by shares that are no longer lent here."""
         if now - self._settled_at < RECOUNT_INTERVAL_S:
             return
         self._settled_at = now
@@ -185,6 +186,6 @@
 
 
 def _limit_of(want: UsageWant, known: Mapping[str, HasLimit]) -> UsageLimit | None:
-    """The limit as this box knows it, or as the asker does where it is not known here."""
+    """Return the limit as this box knows it, or else as the request states it."""
     limited = known.get(want.name)
     return want.limit if limited is None else limited.limit
--- a/src/croftchute/systems/fleet_size.py
+++ b/src/croftchute/systems/fleet_size.py
@@ -1,9 +1,9 @@
-"""How many boxes there are: what every limit of all boxes together is divided by.
+"""The number of boxes, by which every shared limit is divided.
 
-A box that has just been started knows few others, and one that was started within a cut will not
-hear of the rest for as long as it lasts. The count is therefore recorded in the platform's store,
-beside the configuration without which a box serves nobody. Until a box has read the record, or was
-told the count by one that has, it counts no share of a limit as its own.
+A box that has just started knows few others, and one that starts during a network cut will not
+learn of the rest while the cut lasts. The count is therefore recorded in the platform's store,
+beside the configuration without which a box serves nobody. Until a box has read the record, or has
+the count from a box that did, it owns no share of a limit.
 """
 
 from __future__ import annotations
@@ -13,13 +13,13 @@
 
 SHRINK_DELAY_S = 300.0
 """Seconds for which fewer boxes than recorded must be known before the record is lowered. Boxes
-that are cut off serve on with their shares; a cut that lasts longer is one that operators know of.
-Until then a fleet that shrank gets its limits short by the shares of the boxes that are gone."""
+that are cut off continue to use their shares; operators know of any longer cut. Until then limits
+in a fleet that shrank are short by the shares of the removed boxes."""
 
 
 @dataclass(kw_only=True)
 class FleetSize:
-    """The count as recorded, None while it has not been read; 0 if there is no record yet.
+    """The recorded count: None if it has not been read, 0 if there is no record yet.
 
     ``pool`` is the box that most others lent their shares to when the record was written.
     """
@@ -30,16 +30,16 @@
 
     @property
     def is_known(self) -> bool:
-        """Whether the record has been read, or was told."""
+        """Whether the record has been read here or by a box that reported it."""
         return self.recorded is not None
 
     def note_told(self, boxes: int) -> None:
-        """Another box that knows the record told the count; 0 if that box does not know it."""
+        """Record the count reported by another box; 0 if that box does not know it."""
         if boxes > 0:
             self.recorded = max(boxes, self.recorded or 0)
 
     def boxes(self, known: int) -> int:
-        """How many boxes there are at least, by the record and by those that are known.
+        """Return the number of boxes, at least: the larger of the record and the known boxes.
 
         >>> FleetSize(recorded=78).boxes(5), FleetSize(recorded=0).boxes(5)
         (78, 5)
@@ -47,7 +47,7 @@
         return max(1, known, self.recorded or 0)
 
     def share(self, known: int) -> float:
-        """The part of each limit that is one box's own; nothing before the record is known.
+        """Return this box's own part of each limit; 0 before the record is known.
 
         >>> FleetSize(recorded=4).share(2), FleetSize().share(2)
         (0.25, 0.0)
@@ -55,7 +55,7 @@
         return 1.0 / self.boxes(known) if self.is_known else 0.0
 
     def to_record(self, known: int, now: float) -> int | None:
-        """What the record should say instead; None if it may stay as it is."""
+        """Return the new value for the record; None if it may stay as it is."""
         if self.recorded is None or known == self.recorded:
             self._fewer_since = math.inf
             return None
--- a/src/croftchute/systems/lent_share.py
+++ b/src/croftchute/systems/lent_share.py
@@ -1,8 +1,8 @@
-"""Which pool a box lends its share of all limits to, and until when it is bound to that pool.
+"""Choose the pool to which a box lends its share of all limits, and track the lease.
 
 Boxes rank the live boxes alike for each group of organisations and lend to the first. While their
-views differ they lend to different pools, each of which then gives out less; nothing is given
-twice, since a box lends to another pool only once its lease at the present one is over.
+views differ they lend to different pools, each of which then grants less. No share counts twice,
+because a box lends to another pool only after its lease at the present one has ended.
 """
 
 from __future__ import annotations
@@ -15,34 +15,35 @@
 from croftchute.systems.rendezvous import rank_nodes
 
 GROUP_COUNT = 1
-"""Groups of organisations, each with a pool of its own. More of them spread the askings over more
-boxes, and multiply the renewals: with four, 78 boxes sent more datagrams for them than notices."""
+"""Number of groups of organisations, each with a pool of its own. More groups spread the requests
+over more boxes but multiply the renewals: with four, 78 boxes sent more datagrams for renewals than
+for notices."""
 
 SUSPECTED_S = 8.0
-"""Seconds for which a pool that did not answer is not asked: a box that is gone stays known for a
-minute, and each asking in vain costs a request a quarter of a second."""
+"""Seconds for which a pool that did not answer is not asked. A stopped box stays known for a
+minute, and each request to it would delay a caller by a quarter of a second."""
 
 STARTUP_SUSPECTED_S = 0.3
-"""The same in the first seconds of a life: after a loss of all power the pool may be a box that
-starts more slowly than this one."""
+"""The same in the first seconds after a start: after a power loss of all boxes the pool may be a
+box that starts more slowly than this one."""
 
 MIN_TIMEOUTS = 3
-"""Askings in a row without an answer after which a pool is suspected: two may be lost."""
+"""Unanswered requests in a row after which a pool is suspected; two may be lost on the network."""
 
 MIN_SILENCE_S = 0.15
-"""Seconds without an answer before a pool is suspected: many askings may be under way at once."""
+"""Seconds without an answer before a pool is suspected, since many requests may be open at once."""
 
 
 CONVERGENCE_S = 1.2
-"""Seconds in which shares come together after a start or the end of a pool: a lease that must run
-out, and one more round of askings in part."""
+"""Seconds until all shares are lent again after a start or the loss of a pool: one lease must
+expire, and part of another renewal round follows."""
 
 STARTUP_S = 3.0
-"""Seconds of a life in which other boxes may still be starting too."""
+"""Seconds after a start in which other boxes may still be starting too."""
 
 
 def group_of(organisation: str) -> int:
-    """The group that an organisation belongs to.
+    """Return the group that an organisation belongs to.
 
     >>> 0 <= group_of("crew") < GROUP_COUNT
     True
@@ -53,15 +54,16 @@
 GROUP_NAMES = tuple(str(number) for number in range(GROUP_COUNT))
 
 WORKERS_GROUP = GROUP_COUNT
-"""The group of the limits that workers name, behind those of organisations. It has a pool of its
-own, whose leases are kept up only while some worker names a limit."""
+"""The group of the limits that workers set, after those of organisations. It has its own pool,
+whose leases are renewed only while some worker has a limit."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Lease:
-    """What goes to a pool with an asking: the share lent, 0 if none, and the echo of its clock.
+    """What a box sends to a pool with a request: the share lent and the echo of its clock.
 
-    ``is_first`` marks the first share that the box lends in its present life.
+    ``share`` is 0 if none is lent. ``is_first`` marks the first share that the box lends after its
+    start.
     """
 
     pool: str
@@ -72,10 +74,10 @@
 
 @dataclass(kw_only=True)
 class LentShare:
-    """The share of one box for one group; times are those of the box's steady clock.
+    """The share of one box for one group; times are those of the box's monotonic clock.
 
-    Nothing is lent in the first second of a life, which begins at ``started_at``: an earlier life
-    of the box may have lent it.
+    Nothing is lent in the first second after ``started_at``, because the box may have lent its
+    share before a restart.
     """
 
     own_id: str
@@ -92,7 +94,7 @@
     _suspected_until: dict[str, float] = field(default_factory=dict)
 
     def _choose(self, wanted: str, now: float) -> None:
-        """Take the wanted pool, once the share is not lent to another one any more."""
+        """Switch to the wanted pool once the share is no longer lent to another one."""
         if wanted == self.pool:
             return
         if not self.pool or now >= self._lent_until:
@@ -101,7 +103,7 @@
             self._reset_silence()
 
     def renew_lease(self, boxes: Sequence[str], share: float, now: float) -> Lease:
-        """The pool to ask now, and what is lent to it with that."""
+        """Return the pool to ask now and the share lent to it with the request."""
         wanted = self._best(boxes, now)
         self._choose(wanted, now)
         if wanted != self.pool:
@@ -109,7 +111,7 @@
         self._timeouts += 1
         if self._silent_since is None:
             self._silent_since = now
-        # An echo that is older than a lease lends nothing, as after a time without any limits.
+        # An echo older than a lease lends nothing, for instance after a time without limits.
         is_echo_good = now - self._echo_heard_at < LEASE_S
         echo = now if self.pool == self.own_id else self._echo if is_echo_good else 0.0
         if echo <= 0.0 or now - self.started_at < LEASE_S:
@@ -125,11 +127,11 @@
         return max(self.started_at, self._silence_noted_at) + CONVERGENCE_S
 
     def is_lent(self, now: float) -> bool:
-        """Whether the share is lent at the moment."""
+        """Return whether the share is lent now."""
         return now < self._lent_until
 
     def note_reply(self, pool: str, stamp: float, now: float) -> None:
-        """A pool answered; ``stamp`` is its clock."""
+        """Record an answer of a pool; ``stamp`` is the pool's clock."""
         self._suspected_until.pop(pool, None)
         if pool == self.pool:
             self._echo = max(self._echo, stamp)
@@ -137,7 +139,7 @@
             self._reset_silence()
 
     def note_timeout(self, pool: str, now: float) -> bool:
-        """Nothing came for an asking; True if the pool is suspected from now on."""
+        """Record an unanswered request; return True if the pool becomes suspected."""
         silent_since = self._silent_since
         if pool != self.pool or silent_since is None:
             return False
@@ -153,7 +155,7 @@
         self._silent_since = None
 
     def _present_or(self, wanted: str, now: float) -> str:
-        """The pool that still has the share, unless it does not answer."""
+        """Return the pool that still holds the share, or ``wanted`` if it does not answer."""
         return wanted if self._is_suspected(self.pool, now) else self.pool
 
     def _best(self, boxes: Sequence[str], now: float) -> str:
--- a/src/croftchute/systems/prefetched_usage.py
+++ b/src/croftchute/systems/prefetched_usage.py
@@ -1,4 +1,4 @@
-"""What one box has at hand for an organisation: units given ahead, which lapse soon."""
+"""Units that one box has obtained ahead for an organisation; they expire soon."""
 
 from __future__ import annotations
 
@@ -7,16 +7,18 @@
 from dataclasses import dataclass, field
 
 LOT_TTL_S = 1.0
-"""Seconds for which units given ahead may be used: later they could fall into another window."""
+"""Seconds for which prefetched units may be used; used later, they could fall into another
+window."""
 
 PREFETCH_S = 0.25
-"""Seconds of an organisation's present use that a box asks for ahead, so that askings get fewer."""
+"""Seconds of an organisation's present use that a box prefetches, so that it asks less often."""
 
 MIN_PREFETCH_RATE_PER_S = 4.0
-"""Requests a second and box from which on units are asked for ahead; below, most would lapse."""
+"""Requests per second at this box from which units are prefetched; below it, most would expire
+unused."""
 
 USE_TAU_S = 1.0
-"""Time constant in seconds of the mean use."""
+"""Time constant of the moving average of use, in seconds."""
 
 IDLE_S = 5.0
 """Seconds without a request after which nothing is kept for an organisation."""
@@ -24,7 +26,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class UnitLot:
-    """Units that were given together."""
+    """Units that were granted together."""
 
     units: float
     expires_at: float
@@ -32,7 +34,7 @@
 
 @dataclass(kw_only=True, slots=True)
 class PrefetchedUsage:
-    """Units at hand, and the use of late: units and requests a second."""
+    """Prefetched units, and the recent use in units and requests per second."""
 
     lots: deque[UnitLot] = field(default_factory=deque)
     units_per_s: float = 0.0
@@ -40,25 +42,25 @@
     used_at: float = -math.inf
 
     def note_use(self, units: float, now: float) -> None:
-        """Count a request in the mean use."""
+        """Add a request to the moving averages."""
         kept = math.exp(-max(0.0, now - self.used_at) / USE_TAU_S)
         self.units_per_s = self.units_per_s * kept + units / USE_TAU_S
         self.requests_per_s = self.requests_per_s * kept + 1.0 / USE_TAU_S
         self.used_at = now
 
     def units_to_prefetch(self, units: float, now: float) -> float:
-        """What to ask for beside a request's own units."""
+        """Return how much to ask for beyond a request's own units."""
         if self.requests_per_s < MIN_PREFETCH_RATE_PER_S:
             return 0.0
         return max(0.0, self.units_per_s * PREFETCH_S - units)
 
     def put(self, units: float, now: float) -> None:
-        """Keep units that were given ahead."""
+        """Store prefetched units."""
         if units > 0.0:
             self.lots.append(UnitLot(units=units, expires_at=now + LOT_TTL_S))
 
     def take(self, units: float, now: float) -> tuple[UnitLot, ...]:
-        """Take units out, the oldest first: as many as there are and have not lapsed.
+        """Take up to ``units`` unexpired units, the oldest first.
 
         >>> prefetched = PrefetchedUsage()
         >>> prefetched.put(5.0, now=0.0)
@@ -81,9 +83,9 @@
         return tuple(taken)
 
     def restore(self, lots: tuple[UnitLot, ...]) -> None:
-        """Put back what was taken and not used; it lapses as before."""
+        """Put back units that were taken and not used; their expiry stays."""
         self.lots.extendleft(reversed(lots))
 
     def is_idle(self, now: float) -> bool:
-        """Whether there is nothing worth keeping."""
+        """Return whether nothing here is worth keeping."""
         return now - self.used_at > IDLE_S
--- a/src/croftchute/systems/retry_budget.py
+++ b/src/croftchute/systems/retry_budget.py
@@ -1,4 +1,4 @@
-"""The share of one box in a retry budget that all boxes of a service have together."""
+"""One box's share of a retry budget that all boxes have together for a service."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 from dataclasses import dataclass, field
 
 SAFETY_FACTOR = 0.7
-"""Share of the budget that is used: boxes count each other late, and windows slide."""
+"""Share of the budget that is used, because boxes learn late of each other and windows slide."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class RetryLimits:
-    """Repeats allowed in any window: a share of the requests, plus a constant for all boxes."""
+    """Retries allowed in any window: a ratio of the requests, plus a constant for all boxes."""
 
     ratio: float
     window_s: float
@@ -20,14 +20,14 @@
 
 @dataclass(kw_only=True)
 class RetryWindow:
-    """Requests and repeats of one service in the last window, as this box sent them."""
+    """The requests and retries that this box sent for one service in the last window."""
 
     limits: RetryLimits
     request_times: deque[float] = field(default_factory=deque)
     repeat_times: deque[float] = field(default_factory=deque)
 
     def allowed(self, now: float, *, boxes: int) -> float:
-        """How many repeats this box may have sent in the window that ends now."""
+        """Return how many retries this box may send in the window that ends now."""
         self._expire(now)
         share = self.limits.slack / max(1, boxes)
         return SAFETY_FACTOR * (self.limits.ratio * len(self.request_times) + share)
@@ -38,7 +38,7 @@
         self.request_times.append(now)
 
     def spend(self, now: float, *, boxes: int) -> bool:
-        """Take one repeat out of the budget, if there is one."""
+        """Take one retry from the budget; return False if none is left."""
         allowed = self.allowed(now, boxes=boxes)
         if len(self.repeat_times) + 1 > allowed:
             return False
--- a/src/croftchute/systems/usage_bucket.py
+++ b/src/croftchute/systems/usage_bucket.py
@@ -1,4 +1,4 @@
-"""What an organisation may use: a bucket that fills at its rate, up to what it may save up."""
+"""The token bucket of a limit: it fills at the limit's rate up to a capacity."""
 
 from __future__ import annotations
 
@@ -7,23 +7,23 @@
 from croftchute.tables.organisations import UsageLimit
 
 SAVED_EXCESS_RATIO = 0.5
-"""Share of the allowed excess that buckets may save up beside the burst. The rest covers what is
-used later than it was given, and boxes that count each other late."""
+"""Share of the allowed excess that buckets may save beside the burst. The rest covers units that
+are used later than granted, and boxes that learn late of each other."""
 
 
 START_CREDIT_RATIO = 0.2
-"""Share of the allowed excess that a box's share brings along once in each life of the box. A pool
-that begins with nothing refuses an organisation for as long as one request takes to save up, after
-each start of a fleet. Beside ``SAVED_EXCESS_RATIO`` two starts of all boxes within one window fit;
-a third takes them longer than what is saved meanwhile."""
+"""Share of the allowed excess that a box's share adds once after each start of the box. A pool that
+starts empty would refuse an organisation until one request's units have accrued, after each start
+of a fleet. Beside ``SAVED_EXCESS_RATIO``, two starts of all boxes fit within one window; a third
+takes the boxes so long that what accrues meanwhile covers it."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class LimitTerms:
-    """How strictly limits are judged: over which window, and what may come on top.
+    """How strictly limits are applied: the window, and what is allowed on top.
 
-    In any ``window_s`` seconds an organisation may use its rate times the window plus its burst,
-    a share ``overage`` more, and ``slack`` units.
+    In any ``window_s`` seconds an organisation may use its rate times the window plus its burst, a
+    share ``overage`` more, and ``slack`` units.
     """
 
     window_s: float = 10.0
@@ -31,7 +31,7 @@
     slack: float = 0.0
 
     def allowed(self, limit: UsageLimit) -> float:
-        """The most that may be used in a window.
+        """Return the most that may be used in a window.
 
         >>> LimitTerms(window_s=8, overage=0.1, slack=50).allowed(
         ...     UsageLimit(rate_per_s=100, burst=200)
@@ -42,7 +42,7 @@
         return plain * (1.0 + self.overage) + self.slack
 
     def excess(self, limit: UsageLimit) -> float:
-        """What may be used in a window beside the rate and the burst.
+        """Return what may be used in a window beyond the rate and the burst.
 
         >>> LimitTerms(window_s=8, overage=0.1, slack=50).excess(
         ...     UsageLimit(rate_per_s=100, burst=200)
@@ -52,11 +52,11 @@
         return self.allowed(limit) - limit.rate_per_s * self.window_s - limit.burst
 
     def start_credit(self, limit: UsageLimit) -> float:
-        """What a pool has at once of a share whose box was just started; a whole limit's."""
+        """Return the units credited when all boxes have just started, for a whole limit."""
         return START_CREDIT_RATIO * self.excess(limit)
 
     def capacity(self, limit: UsageLimit) -> float:
-        """What may be saved up: the burst, and a part of the allowed excess.
+        """Return the most that may be saved: the burst and a part of the allowed excess.
 
         >>> LimitTerms(window_s=8, overage=0.1, slack=50).capacity(
         ...     UsageLimit(rate_per_s=100, burst=200)
@@ -68,10 +68,10 @@
 
 @dataclass(kw_only=True, slots=True)
 class UsageBucket:
-    """Units saved up; ``filled_to`` is the share-seconds up to which it has been filled.
+    """A bucket of saved units; ``filled_to`` is the share-seconds up to which it is filled.
 
-    A share-second is the whole limit for one second, or half of it for two. ``starts`` is how many
-    whole limits of boxes that were just started have been counted.
+    A share-second is the whole limit for one second, or half of it for two. ``starts`` is the
+    number of whole limits credited so far for boxes that just started.
     """
 
     level: float
@@ -81,7 +81,7 @@
     def fill(
         self, share_seconds: float, *, limit: UsageLimit, capacity: float, extra: float = 0.0
     ) -> None:
-        """Add what has come since the last time and something ``extra``, up to a capacity.
+        """Add what has accrued since the last fill, plus ``extra``, up to the capacity.
 
         >>> bucket = UsageBucket(level=0.0, filled_to=1.0)
         >>> bucket.fill(3.0, limit=UsageLimit(rate_per_s=10, burst=0), capacity=15.0)
@@ -93,10 +93,10 @@
         self.level = min(capacity, self.level + gained + extra)
 
     def take(self, units: float, *, extra: float, capacity: float, kept: float = 0.0) -> float:
-        """What is given for a request of ``units``: at least that, or nothing.
+        """Take at least ``units`` and up to ``extra`` more; return 0 if that is not possible.
 
-        A request over the capacity is given once the bucket is full, and leaves a debt. ``kept`` is
-        left in the bucket, for requests that are more urgent.
+        A request larger than the capacity is granted once the bucket is full, and leaves a debt.
+        ``kept`` units stay in the bucket for more urgent requests.
 
         >>> bucket = UsageBucket(level=10.0, filled_to=0.0)
         >>> bucket.take(4, extra=3, capacity=10.0), bucket.take(4, extra=0, capacity=10.0)
@@ -111,5 +111,5 @@
         return given
 
     def needed(self, units: float, *, capacity: float, kept: float) -> float:
-        """The level from which on a request of ``units`` is given them."""
+        """Return the level from which a request of ``units`` is granted."""
         return min(units + kept, capacity)
