--- a/src/croftchute/systems/hall_relays.py
+++ b/src/croftchute/systems/hall_relays.py
@@ -1,10 +1,9 @@
-"""Which boxes of a hall read the store for the others of the hall.
+"""Choose the boxes of a hall that read the store for the others.
 
-Every call of the store is paid for, so a few boxes of each hall watch it and the others follow one
-of these. Nobody is elected: each box ranks the live boxes of its hall by a hash, which all boxes
-compute alike, and the first ones read; boxes with much wider links than others rank before these.
-Boxes that see different peers for a moment rank them differently; then a few more of them read, and
-nothing else comes of it.
+Each call of the store is billed, so a few boxes of each hall watch it and the others follow one of
+them. There is no election: each box ranks the live boxes of its hall by the same hash, and the
+first ones read. Boxes with much wider links rank before the others. Boxes that see different peers
+for a moment rank them differently; then a few more of them read the store, which does no harm.
 """
 
 from __future__ import annotations
@@ -16,35 +15,36 @@
 from croftchute.tables.peers import Peer
 
 RELAY_COUNT = 2
-"""Boxes of a hall that read the store: one may be gone, slow or cut off from it."""
+"""Boxes of a hall that read the store; one may be down, slow or cut off from it."""
 
 WIDE_LINK_RATIO = 0.5
-"""Share of the widest link of the hall from which on a link counts as wide: the relay of a long
-configuration reads it and passes it on to half of the hall."""
+"""Share of the hall's widest link from which a link counts as wide. The relay of a long
+configuration reads it and forwards it to half of the hall."""
 
 MAX_RELAYS = 4
-"""Boxes that a follower asks, one after the other, before it reads the store itself."""
+"""Most boxes that a follower asks, one after the other, before it reads the store itself."""
 
 MIN_HALL_SIZE = 6
-"""Boxes of a hall from which on some of them follow: in smaller halls too few calls are saved."""
+"""Boxes in a hall from which some of them follow; in smaller halls this saves too few calls."""
 
 PEER_LIVE_S = 15.0
-"""Seconds since its last notice for which a box counts as alive here: boxes of a hall hear each
-other every two to three seconds in a hall of forty."""
+"""Seconds since its last notice for which a box counts as alive here. In a hall of forty, boxes
+receive each other's notices every two to three seconds."""
 
 RELAY_BACKOFF_S = 4.0
 """Seconds for which a relay that did not answer, or has lost the store, is not asked again."""
 
 MIN_STORE_LOST_REPORTS = 2
-"""Relays that say that they lost the store for a follower to take it as lost for the hall."""
+"""Relays that must report the store as lost before a follower takes it as lost for the hall."""
 
 RELAY_DUTY_S = 15.0
-"""Seconds for which a box that was asked for news reads the store, even if it ranks itself low."""
+"""Seconds for which a box that was asked for updates reads the store, even if it ranks itself
+low."""
 
 
 @dataclass(kw_only=True)
 class HallRelays:
-    """What one box makes of its hall: whether it reads the store, or whom it follows."""
+    """One box's view of its hall: whether it reads the store, or which box it follows."""
 
     own_id: str
     hall: str
@@ -54,7 +54,7 @@
     _asked_until: float = 0.0
 
     def relay_to_ask(self, hall_peers: Sequence[Peer], now: float) -> Peer | None:
-        """The box to ask for news; None if this box should read the store itself.
+        """Return the box to ask for updates; None if this box should read the store itself.
 
         ``hall_peers`` are the other live boxes of the hall.
         """
@@ -69,7 +69,7 @@
         return next((peers_by_id[box] for box in usable if box in peers_by_id), None)
 
     def skip_relay(self, box_id: str, now: float, *, has_lost_store: bool = False) -> None:
-        """A box gave no news: ask others for a while."""
+        """Ask other relays for a while, because this one returned nothing."""
         self._skipped_until = _unexpired(self._skipped_until, now)
         self._skipped_until[box_id] = now + RELAY_BACKOFF_S
         self._lost_until = _unexpired(self._lost_until, now)
@@ -77,19 +77,19 @@
             self._lost_until[box_id] = now + RELAY_BACKOFF_S
 
     def is_store_lost(self, now: float) -> bool:
-        """Whether several relays of the hall do not reach the store either."""
+        """Return whether several relays of the hall have lost the store too."""
         return len(_unexpired(self._lost_until, now)) >= MIN_STORE_LOST_REPORTS
 
     def note_asked(self, now: float) -> None:
-        """Another box takes this one for a relay: read the store for a while."""
+        """Read the store for a while, because another box asked this one for updates."""
         self._asked_until = now + RELAY_DUTY_S
 
     def has_relay_duty(self, now: float) -> bool:
-        """Whether another box asked for news lately."""
+        """Return whether another box asked for updates recently."""
         return now < self._asked_until
 
     def _order(self, hall_peers: Sequence[Peer]) -> list[str]:
-        """All boxes of the hall, those with wide links first, by rank among them."""
+        """Return all boxes of the hall by rank, those with wide links first."""
         mbps_by_id = {mate.id: mate.link_mbps for mate in hall_peers} | {self.own_id: self.own_mbps}
         bar_mbps = WIDE_LINK_RATIO * max(mbps_by_id.values())
         wide = [box for box, mbps in mbps_by_id.items() if mbps >= bar_mbps]
@@ -97,11 +97,11 @@
         return rank_nodes(self.hall, wide) + rank_nodes(self.hall, narrow)
 
     def _rotated(self, relays: list[str]) -> list[str]:
-        """The relays in this box's own order, so that each gets its share of the followers."""
+        """Return the relays in this box's own order, so that each gets its share of followers."""
         turn = rendezvous_weight(self.hall, self.own_id) % len(relays)
         return relays[turn:] + relays[:turn]
 
 
 def _unexpired(until_by_box: dict[str, float], now: float) -> dict[str, float]:
-    """What is not over yet."""
+    """Return the entries whose time is not over yet."""
     return {box: until for box, until in until_by_box.items() if until > now}
--- a/src/croftchute/systems/peer_table.py
+++ b/src/croftchute/systems/peer_table.py
@@ -1,4 +1,4 @@
-"""Which other boxes are known, and what they told lately. Bounded; nothing waits for a peer."""
+"""The known boxes and their latest notices; bounded, and never waits for a peer."""
 
 from __future__ import annotations
 
@@ -14,35 +14,35 @@
 from croftchute.tables.peers import OrganisationUseNotice, Peer, RankRoomNotice, WorkerNotice
 
 FRESH_S = 1.5
-"""Seconds for which a notice counts: three notices may be lost."""
+"""Seconds for which a notice counts: three in a row may be lost."""
 
 COUNTED_S = 12.0
-"""Seconds after its last notice for which a box counts as one that shares the budgets."""
+"""Seconds since its last notice for which a box counts as one that shares the budgets."""
 
 FORGET_S = 60.0
 """Seconds after which a silent box is forgotten."""
 
 HALL_TIMEOUT_S = 1.5
-"""Seconds without a notice of any box of a hall after which it counts as cut off: of 26 boxes some
-three are heard a second, of two both twice a second."""
+"""Seconds without a notice from any box of a hall after which the hall counts as cut off. Of 26
+boxes about three are received per second; of two, each twice per second."""
 
 FANOUT = 10
-"""Boxes that a notice goes to: bounds the bytes of a box however large the fleet."""
+"""Boxes that a notice is sent to; bounds a box's traffic however large the fleet is."""
 
 HALL_FANOUT = 7
-"""How many of these are in the box's own hall, if so many are: bytes between halls are dear, and
-boxes of a hall follow one another's news."""
+"""How many of these are in the box's own hall, if there are enough. Traffic between halls is
+expensive, and boxes of a hall follow one another's updates."""
 
 MAX_INTRODUCED_PEERS = 4
-"""Addresses of other boxes in a notice: a new box knows all within a few."""
+"""Addresses of other boxes in a notice; a new box knows all boxes after a few notices."""
 
 MAX_PEERS = 1024
-"""Boxes known at most: above twice the size that docs/CAPACITY.md works out."""
+"""Most known boxes: more than twice the fleet size that docs/CAPACITY.md derives."""
 
 
 @dataclass(kw_only=True)
 class PeerTable:
-    """Peers by id; ``seeds`` are addresses to ask while too few peers are known."""
+    """Peers by id; ``seeds`` are addresses to contact while too few peers are known."""
 
     own_id: str
     hall: str = ""
@@ -53,7 +53,7 @@
     _id_by_address: dict[tuple[str, int], str] = field(default_factory=dict)
 
     def apply_notice(self, sender: str, notice: BoxNotice, now: float) -> bool:
-        """Take in a notice; True if the sender was not known, or has been restarted."""
+        """Apply a notice; return True if the sender is new or has restarted."""
         if sender == self.own_id:
             return False
         known = self.peers_by_id.get(sender)
@@ -83,29 +83,29 @@
         return known is None or known.started_at < notice.started_at
 
     def forget(self, now: float) -> list[str]:
-        """Drop peers that have been silent for long; returns their ids."""
+        """Drop peers that have been silent for long; return their ids."""
         old = [peer.id for peer in self.peers_by_id.values() if now - peer.heard_at > FORGET_S]
         for peer_id in old:
             self._drop_entries(self.peers_by_id.pop(peer_id))
         return old
 
     def note_address(self, box: str, host: str, port: int) -> None:
-        """Keep where a box takes notices that was not heard yet; the last one named."""
+        """Keep the notice address of one box that has not been heard from; the latest call wins."""
         self._named_by_id = {box: (host, port)}
 
     def address_of(self, box: str) -> tuple[str, int] | None:
-        """Where a box takes notices, by its own word or as it was named; None if neither is so."""
+        """Return a box's notice address, from its own notice or :meth:`note_address`, or None."""
         peer = self.peers_by_id.get(box)
         if peer is not None:
             return peer.host, peer.notice_port
         return self._named_by_id.get(box)
 
     def knows(self, address: tuple[str, int]) -> bool:
-        """Whether some peer takes notices at an address."""
+        """Return whether some peer receives notices at an address."""
         return address in self._id_by_address
 
     def _drop_entries(self, peer: Peer | None) -> None:
-        """Forget where a peer was, and what it told of workers."""
+        """Forget a peer's address and what it reported about workers."""
         if peer is None:
             return
         address = (peer.host, peer.notice_port)
@@ -118,7 +118,7 @@
                 del self._entries_by_worker[worker_id]
 
     def targets(self, now: float, rng: random.Random) -> list[tuple[str, int]]:
-        """Where the next notice goes: a bounded number of peers, and seeds while few answer."""
+        """Return where to send the next notice: some peers, and seeds while few peers answer."""
         peers = [peer for peer in self.peers_by_id.values() if now - peer.heard_at <= FORGET_S]
         if len(peers) > FANOUT:
             peers = self._sample_peers(peers, rng)
@@ -128,14 +128,14 @@
         return chosen
 
     def _sample_peers(self, peers: list[Peer], rng: random.Random) -> list[Peer]:
-        """As many as a notice goes to, most of them of the own hall."""
+        """Return a random sample of peers for a notice, most of them from the own hall."""
         near = [peer for peer in peers if peer.hall == self.hall]
         far = [peer for peer in peers if peer.hall != self.hall]
         near_count = min(len(near), max(HALL_FANOUT, FANOUT - len(far)))
         return rng.sample(near, near_count) + rng.sample(far, FANOUT - near_count)
 
     def hall_peers(self, hall: str, now: float) -> list[Peer]:
-        """The other boxes of a hall that live and are not leaving."""
+        """Return the other live boxes of a hall that are not leaving."""
         return [
             peer
             for peer in self.peers_by_id.values()
@@ -143,9 +143,10 @@
         ]
 
     def reachable(self, now: float) -> list[str]:
-        """Boxes that are not leaving, of halls from which something was heard just now.
+        """Return the boxes that are not leaving, in halls that sent a notice just now.
 
-        Single boxes are heard too seldom to be judged by their own notices; halls are cut as one.
+        A single box is heard too rarely to be judged by its own notices, and network cuts affect
+        whole halls.
         """
         heard_at_by_hall: dict[str, float] = {}
         for peer in self.peers_by_id.values():
@@ -160,7 +161,7 @@
         ]
 
     def introduced(self, now: float, rng: random.Random) -> tuple[str, ...]:
-        """Addresses of some live peers, for others to learn of."""
+        """Return the addresses of some live peers, for other boxes to learn of."""
         live = [
             f"{peer.host}:{peer.notice_port}"
             for peer in self.peers_by_id.values()
@@ -172,36 +173,37 @@
 
     @property
     def known_boxes(self) -> int:
-        """Boxes that are known, this one among them.
+        """The number of known boxes, this one included.
 
-        Boxes that have been silent for less than a minute count: they may be cut off and serve on.
+        Boxes that have been silent for less than a minute count: they may be cut off and still
+        serve.
         """
         return 1 + len(self.peers_by_id)
 
     def boxes(self, now: float) -> int:
-        """How many boxes there are, this one and those heard in the last seconds."""
+        """Return the number of boxes, counting this one and those heard in the last seconds."""
         heard = sum(now - peer.heard_at <= COUNTED_S for peer in self.peers_by_id.values())
         return 1 + heard
 
     def fresh_boxes(self, now: float) -> int:
-        """How many other boxes' notices still count: those that :meth:`demand` sums over."""
+        """Return how many other boxes have a fresh notice: those that :meth:`demand` sums over."""
         return sum(now - peer.heard_at <= FRESH_S for peer in self.peers_by_id.values())
 
     def in_flight(self, worker_id: str, now: float) -> int:
-        """What other boxes have open at a worker, as far as they told lately."""
+        """Return the requests that other boxes have open at a worker, by their fresh notices."""
         return sum(entry.in_flight for entry, _ in self._entries(worker_id, now))
 
     def failures(self, worker_id: str, now: float) -> float:
-        """What other boxes hold against a worker."""
+        """Return the sum of the failure scores that other boxes report for a worker."""
         return sum(entry.failures for entry, _ in self._entries(worker_id, now))
 
     def prefill_wait_s(self, worker_id: str, now: float) -> float:
-        """The longest wait at a prefill worker that other boxes told of lately."""
+        """Return the longest recent wait at a prefill worker that other boxes reported."""
         waits = [faded(entry.wait_s, age_s) for entry, age_s in self._entries(worker_id, now)]
         return max(waits, default=0.0)
 
     def prefills(self, service: str, now: float) -> list[PrefillSample]:
-        """Latest prefill calls that other boxes told of."""
+        """Return the latest prefill calls that other boxes reported."""
         return [
             sample
             for peer in self.peers_by_id.values()
@@ -211,7 +213,7 @@
         ]
 
     def demand(self, service: str, now: float) -> DemandCounts:
-        """What was asked of a service at other boxes."""
+        """Return the demand for a service at other boxes."""
         total = DemandCounts()
         for peer in self.peers_by_id.values():
             entry = (peer.demand_by_service or {}).get(service)
@@ -231,7 +233,7 @@
         return total
 
     def room(self, service: str, now: float) -> RoomCounts:
-        """What requests at other boxes waited for room at the engines of a service."""
+        """Return how long requests at other boxes waited for room at a service's engines."""
         total = RoomCounts()
         for peer in self.peers_by_id.values():
             entry = (peer.demand_by_service or {}).get(service)
@@ -240,7 +242,7 @@
         return total
 
     def ranks(self, service: str, now: float) -> list[tuple[RankRoomNotice, float]]:
-        """What requests of each rank waited for room at other boxes, and when each was heard."""
+        """Return the waits for room per rank at other boxes, each with the time of its notice."""
         return [
             (entry, peer.heard_at)
             for peer in self.peers_by_id.values()
@@ -250,7 +252,7 @@
         ]
 
     def uses(self, service: str, now: float) -> list[OrganisationUseNotice]:
-        """What organisations asked of a service, and got, at other boxes."""
+        """Return what organisations requested and were granted of a service at other boxes."""
         return [
             entry
             for peer in self.peers_by_id.values()
@@ -260,11 +262,11 @@
         ]
 
     def newest(self, now: float, rng: random.Random) -> tuple[Peer | None, Peer | None]:
-        """Live peers with the newest configuration and the newest worker list.
+        """Return the live peers with the newest configuration and the newest worker list.
 
-        Of several one that is not leaving, which may break its answer off with its end, and of the
-        own hall if it can be; any of these: all that are behind would otherwise turn to the box
-        that most of them heard of first.
+        Among equals, peers that are not leaving come first, since a leaving one may break off its
+        answer; then peers of the own hall. The rest is chosen at random: otherwise all boxes that
+        are behind would ask the box that most of them heard of first.
         """
         live = [peer for peer in self.peers_by_id.values() if now - peer.heard_at <= FRESH_S]
         if not live:
@@ -281,7 +283,7 @@
         return not peer.is_leaving, peer.hall == self.hall
 
     def _entries(self, worker_id: str, now: float) -> list[tuple[WorkerNotice, float]]:
-        """What peers told of a worker lately, each with its age in seconds."""
+        """Return the fresh reports of peers about a worker, each with its age in seconds."""
         ages = (
             (entry, now - self.peers_by_id[peer_id].heard_at)
             for peer_id, entry in self._entries_by_worker.get(worker_id, {}).items()
--- a/src/croftchute/systems/unknown_attempts.py
+++ b/src/croftchute/systems/unknown_attempts.py
@@ -1,4 +1,4 @@
-"""Work that runs on an engine though its owner knows of no reservation for it."""
+"""Find work that runs on an engine without a reservation known to the engine's owner."""
 
 from __future__ import annotations
 
@@ -7,13 +7,14 @@
 from croftchute.tables.upstreams import EngineReport
 
 UNKNOWN_GRACE_S = 2.0
+"""Seconds for which an attempt may run unknown to the owner."""
 
 
 class UnknownAttempts:
     """When each unknown attempt was first seen, by engine and attempt.
 
-    An attempt may be unknown for a moment after its shard has changed owners, until its entry box
-    has announced it; after the grace nobody is left to do that.
+    After its shard has changed owners, an attempt may be unknown for a moment, until its entry box
+    has announced it. After the grace period no box is left to do that.
     """
 
     def __init__(self) -> None:
@@ -22,7 +23,7 @@
     def overdue(
         self, engine_id: str, report: EngineReport, known: Container[str], now: float
     ) -> list[str]:
-        """Attempts in a report that have been unknown for longer than the grace."""
+        """Return the attempts in a report that have been unknown beyond the grace period."""
         before = self._seen_by_engine.get(engine_id, {})
         seen = {key: before.get(key, now) for key in report.request_ids if key not in known}
         self._seen_by_engine[engine_id] = seen
--- a/src/croftchute/tables/allowances.py
+++ b/src/croftchute/tables/allowances.py
@@ -1,7 +1,7 @@
-"""Rows about allowances: what boxes ask for, are given and give back under limits of all boxes.
+"""Messages about shared limits: units that boxes request, are granted and return.
 
-A limit is an organisation's or a worker's, ``name`` says whose. Units are what it counts: requests,
-calls of the worker, or tokens.
+``name`` is the organisation or the worker that the limit belongs to. Units are what the limit
+counts: requests, calls of the worker, or tokens.
 """
 
 from __future__ import annotations
@@ -13,10 +13,10 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class UsageWant:
-    """Units that one request needs, and what more its box would use soon.
+    """The units that one request needs, and the extra units that its box expects to use soon.
 
-    The limit goes along for a pool that does not know it yet; ``known_for_s`` is how long ago a
-    worker named it. ``kept_back`` are the units that are left for requests that are more urgent.
+    The limit is included for a pool that doesn't know it yet; ``known_for_s`` is how long ago a
+    worker reported it. ``kept_back`` are units that must remain for more urgent requests.
     """
 
     name: str
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class UsageGrant:
-    """What was given; where it is 0, ``wait_s`` tells when there will be enough."""
+    """The granted units; if 0, ``wait_s`` is when there will be enough."""
 
     name: str
     units: float
@@ -44,7 +44,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class UsageReturn:
-    """Units given back: what they were for did not run."""
+    """Granted units that are returned because the request did not run."""
 
     name: str
     units: float
--- a/src/croftchute/tables/crashes.py
+++ b/src/croftchute/tables/crashes.py
@@ -1,4 +1,4 @@
-"""Rows about requests under which workers ended, as boxes tell them to one another."""
+"""Records of requests under which workers crashed, as boxes report them to each other."""
 
 from __future__ import annotations
 
@@ -6,14 +6,14 @@
 from dataclasses import dataclass
 
 DIGEST_BYTES = 16
-"""Length of a request's digest: no two requests that are remembered share one by chance."""
+"""Length of a request's digest: two remembered requests don't collide by chance."""
 
 
 def request_digest(*, caller: str, method: str, host: str, target: str, body: bytes) -> str:
-    """What all tries of one request have in common, at whatever box: 32 hexadecimal digits.
+    """Return the digest shared by all attempts of a request at any box: 32 hex digits.
 
-    ``caller`` is the organisation that called. Addresses say nothing: one caller's come from
-    several halls.
+    ``caller`` is the calling organisation. Network addresses are left out, because one caller's
+    requests come from several halls.
     """
     found = hashlib.blake2b(digest_size=DIGEST_BYTES, person=b"croftchute-req")
     for text in (caller, method, host, target):
@@ -24,9 +24,10 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class CrashNotice:
-    """A worker's life that ended under a request, or, without a life, a good end of the request.
+    """A worker instance that crashed under a request, or a success of the request.
 
-    ``digest`` is what all tries of the request have in common; ``age_s`` is how long ago it was.
+    ``digest`` identifies the request; ``life`` is the instance, empty for a success; ``age_s`` is
+    how long ago it was.
     """
 
     digest: str
@@ -35,12 +36,12 @@
 
     @property
     def is_success(self) -> bool:
-        """Whether the request ran to a good end then."""
+        """Whether the notice reports a success of the request."""
         return not self.life
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class CrashEntry:
-    """What the platform's store keeps of a refused request: Unix times by life that ended."""
+    """The store's entry for a refused request: Unix times of crashes by worker instance."""
 
     ended_at_by_life: dict[str, float]
--- a/src/croftchute/tables/fleet.py
+++ b/src/croftchute/tables/fleet.py
@@ -1,4 +1,4 @@
-"""The row about the whole fleet that stands in the platform's store."""
+"""The fleet's record in the platform's store."""
 
 from __future__ import annotations
 
@@ -7,10 +7,10 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class FleetEntry:
-    """How many boxes there are, and which of them is the main pool of the limits, as last written.
+    """The number of boxes and the main pool of the limits, as last written.
 
-    ``pool`` is the id of the box that most others lend to, ``host`` and ``port`` are where it takes
-    notices; all are empty where there was no such box yet.
+    ``pool`` is the id of the box that most others lend to; ``host`` and ``port`` are its notice
+    address. All are empty if there was no such box yet.
     """
 
     boxes: int
--- a/src/croftchute/tables/organisations.py
+++ b/src/croftchute/tables/organisations.py
@@ -1,4 +1,4 @@
-"""Rows about organisations: their keys, their limits, and which of them a request belongs to."""
+"""Organisations, their keys and limits, and the lookup of a request's organisation."""
 
 from __future__ import annotations
 
@@ -8,16 +8,17 @@
 from enum import StrEnum
 
 DIGEST_BYTES = 16
-"""Length of a key's digest: two of 27,000 organisations' keys never share one by chance."""
+"""Length of a key's digest: the keys of 27,000 organisations don't collide by chance."""
 
 FINGERPRINT_BYTES = 4
-"""Length of what logs show of a key: enough to tell keys apart, too short to try keys against."""
+"""Length of a key's fingerprint in logs: enough to tell keys apart, too short to test guessed keys
+against."""
 
 _SECRET = secrets.token_bytes(32)
 
 
 def digest_key(key: bytes) -> bytes:
-    """What stands for a key in tables; means nothing outside this process.
+    """Return the digest of a key for use in tables; it is valid only in this process.
 
     >>> digest_key(b"a") == digest_key(b"a"), digest_key(b"a") == digest_key(b"b")
     (True, False)
@@ -26,7 +27,7 @@
 
 
 def fingerprint(key: bytes) -> str:
-    """What logs show of a key, alike on all boxes.
+    """Return the fingerprint of a key for logs, the same on all boxes.
 
     >>> len(fingerprint(b"some key"))
     8
@@ -35,7 +36,7 @@
 
 
 class LimitMode(StrEnum):
-    """How a limit that holds over all boxes is kept: by pools of lent shares, or box by box."""
+    """How a limit over all boxes is applied: by pools of lent shares, or a fixed share per box."""
 
     POOLED = "pooled"
     FIXED = "fixed"
@@ -50,9 +51,9 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class UsageLimit:
-    """What an organisation may use over all boxes: units a second, and a burst above that.
+    """What an organisation may use over all boxes: units per second, and a burst on top.
 
-    ``default_tokens`` is what a request counts that names no tokens.
+    ``default_tokens`` is the cost of a request that declares no tokens.
     """
 
     rate_per_s: float
@@ -61,7 +62,7 @@
     default_tokens: int = 0
 
     def cost(self, tokens: int | None) -> int:
-        """The units that a request counts; ``tokens`` is None if it names none.
+        """Return the units that a request costs; ``tokens`` is None if it declares none.
 
         >>> limit = UsageLimit(rate_per_s=1, burst=1, unit=LimitUnit.TOKENS, default_tokens=200)
         >>> limit.cost(3272), limit.cost(None)
@@ -82,7 +83,7 @@
 
 
 class KeyState(StrEnum):
-    """How a request names its key."""
+    """Whether a request has a key, and whether it is well formed."""
 
     ABSENT = "absent"
     MALFORMED = "malformed"
@@ -91,7 +92,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class KeyClaim:
-    """The key that a request bears, as its digest and what logs may show of it."""
+    """A request's key, as its digest and its fingerprint for logs."""
 
     state: KeyState = KeyState.ABSENT
     digest: bytes = b""
@@ -103,18 +104,18 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Organisations:
-    """All organisations of a configuration, and which of them holds a key."""
+    """All organisations of a configuration, with a lookup by key."""
 
     by_name: dict[str, Organisation] = field(default_factory=dict)
     name_by_digest: dict[bytes, str] = field(default_factory=dict)
 
     @property
     def has_limits(self) -> bool:
-        """Whether some organisation has a limit."""
+        """Whether any organisation has a limit."""
         return any(organisation.limit is not None for organisation in self.by_name.values())
 
     def holder(self, claim: KeyClaim) -> Organisation | None:
-        """The organisation that holds a key; None if no organisation does.
+        """Return the organisation that a key belongs to; None if there is none.
 
         >>> key = KeyClaim(state=KeyState.PRESENT, digest=b"1")
         >>> Organisations(
--- a/src/croftchute/tables/peers.py
+++ b/src/croftchute/tables/peers.py
@@ -1,4 +1,4 @@
-"""Rows about other boxes of the forwarding fleet: who they are and what they last told."""
+"""What boxes of the forwarding fleet know of each other, and their latest notices."""
 
 from __future__ import annotations
 
@@ -7,15 +7,15 @@
 from croftchute.systems.prefill_pace import PrefillSample
 
 NOT_OMITTED = -1.0
-"""Stands for the age of an answer that did not come."""
+"""The value of ``left_out_s`` if no answer has omitted the limit."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class WorkerNotice:
-    """What one box has open at a worker, holds against it, and how long prompts wait there.
+    """One box's open requests and failure score at a worker, and how long prompts wait there.
 
-    ``changing_to`` is the stage that the worker is about to have, ``changing_s`` for how long it
-    takes no work until then; empty and 0 while it changes nothing.
+    ``changing_to`` is the stage that the worker is changing to, ``changing_s`` for how long it
+    takes no work until then; empty and 0 if it is not changing.
     """
 
     worker: str
@@ -28,10 +28,10 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class WorkerPaceNotice:
-    """How long work takes at a worker over what is usual for its service; 0 if not known.
+    """A worker's processing time relative to what is usual for its service; 0 if unknown.
 
-    ``told`` is the worker's own word of ``told_age_s`` ago, ``seen`` what ``seen_weight`` answers
-    showed the sender.
+    ``told`` is the worker's own report, ``told_age_s`` old; ``seen`` is what the sender measured,
+    over answers of total weight ``seen_weight``.
     """
 
     worker: str
@@ -43,10 +43,10 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class LimitNotice:
-    """The calls a second that a worker takes from all boxes, and how long ago it named that last.
+    """The calls per second that a worker accepts from all boxes, and the age of that report.
 
-    ``left_out_s`` is how long ago the first answer since then came that leaves it out; below 0 if
-    none came.
+    ``left_out_s`` is how long ago the first later answer without the limit came; negative if none
+    came.
     """
 
     worker: str
@@ -57,7 +57,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class RankRoomNotice:
-    """What the requests of one rank waited for room at a box; ``waiting`` of them wait now.
+    """How long requests of one rank waited for room at a box; ``waiting`` of them wait now.
 
     ``waited_s`` and ``grants``: see ``systems/room_forecast.py``.
     """
@@ -70,7 +70,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class OrganisationUseNotice:
-    """Tokens that an organisation asked room for at a box lately, and those that it got."""
+    """Tokens that an organisation recently requested room for at a box, and those granted."""
 
     name: str
     asked_tokens: float
@@ -79,10 +79,10 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class DemandNotice:
-    """What was asked of a service at a box in its window, and the streams that ended there.
+    """The demand for a service at a box in its window, and the streams that ended there.
 
     ``room_waited_s`` and ``room_grants``: see ``systems/room_forecast.py``. ``ranks`` and ``uses``
-    are empty where requests of the service are not ordered by rank.
+    are empty if requests of the service are not ordered by rank.
     """
 
     service: str
@@ -105,9 +105,9 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Peer:
-    """Another box: where it takes notices and where its state can be fetched.
+    """Another box: where it receives notices and where its state can be fetched.
 
-    ``link_mbps`` is the rate of its link in Mbit/s, 0 if it is not known.
+    ``link_mbps`` is the rate of its link in Mbit/s; 0 if unknown.
     """
 
     id: str
--- a/src/croftchute/tables/routing.py
+++ b/src/croftchute/tables/routing.py
@@ -1,4 +1,4 @@
-"""Rows about routes, services and workers: what the configuration and the worker list say."""
+"""Routes, services and workers, from the configuration and the worker list."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class RouteKind(StrEnum):
-    """What may be done with the requests of a route."""
+    """How often a request of a route may run, and whether its answer is a stream."""
 
     REPEATABLE = "repeatable"
     ONCE = "once"
@@ -18,14 +18,14 @@
 
 
 class Stage(StrEnum):
-    """The half of the work that an engine does."""
+    """The part of the work that an engine does."""
 
     PREFILL = "prefill"
     DECODE = "decode"
 
 
 class WorkerState(StrEnum):
-    """What the worker list says of a worker."""
+    """A worker's state in the worker list."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -42,7 +42,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Route:
-    """Where requests of one host and path prefix go; times are in seconds."""
+    """Where requests for one host and path prefix go; times are in seconds."""
 
     name: str
     host: str
@@ -65,9 +65,10 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class EngineTraits:
-    """What all engines of a service have in common; sizes in tokens unless named otherwise.
+    """What all engines of a service have in common; sizes are in tokens unless named otherwise.
 
-    ``switch_s`` is how long an engine that changes its stage is away once its streams have ended.
+    ``switch_s`` is how long an engine that changes its stage is unavailable once its streams have
+    ended.
     """
 
     slots: int
@@ -81,9 +82,9 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Service:
-    """A set of workers that do the same; ``engine`` is None for plain services.
+    """A set of interchangeable workers; ``engine`` is None for plain services.
 
-    ``health_path`` is where its workers answer for their health; empty if they do not.
+    ``health_path`` is the path of the workers' health endpoint; empty if there is none.
     """
 
     name: str
@@ -94,7 +95,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class IngressLimits:
-    """What a caller may send, and how long it may take or rest."""
+    """What a caller may send, and how long it may take or stay idle."""
 
     max_header_bytes: int = 16384
     max_body_bytes: int = 4 << 20
@@ -104,9 +105,9 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class RoutingTable:
-    """One version of the routes, services, limits and organisations; replaced whole.
+    """One version of the routes, services, limits and organisations; replaced as a whole.
 
-    ``organisations`` is None if the configuration has none: then no request needs a key.
+    ``organisations`` is None if the configuration has none; then no request needs a key.
     """
 
     version: int
@@ -116,7 +117,7 @@
     organisations: Organisations | None = None
 
     def match(self, host: str, path: str) -> Route | None:
-        """The route of the host with the longest prefix that begins the path.
+        """Return the host's route with the longest prefix of the path, or None.
 
         >>> RoutingTable(version=1).match("a.example", "/x/") is None
         True
@@ -127,7 +128,7 @@
         return None
 
     def top_priority_by_service(self) -> dict[str, int]:
-        """The first rank among the routes to each service."""
+        """Return the most urgent priority among the routes to each service."""
         found: dict[str, int] = {}
         for routes in self.routes_by_host.values():
             for route in routes:
@@ -137,7 +138,7 @@
         return found
 
     def stream_targets(self, service: str) -> list[float]:
-        """The targets in seconds of the streaming routes to a service."""
+        """Return the time targets, in seconds, of the streaming routes to a service."""
         return [
             route.target_s
             for routes in self.routes_by_host.values()
@@ -148,7 +149,7 @@
 
 
 def by_host(routes: list[Route]) -> dict[str, tuple[Route, ...]]:
-    """Routes grouped by host, those with the longest prefix first."""
+    """Return the routes grouped by host, those with the longest prefix first."""
     grouped: dict[str, list[Route]] = {}
     for route in routes:
         grouped.setdefault(route.host, []).append(route)
@@ -160,12 +161,12 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Worker:
-    """One life of a worker as the worker list describes it.
+    """One instance of a worker as the worker list describes it.
 
-    ``id`` names this life, alike at all boxes: a worker that starts again under the name that it
-    had is another one, and nothing that is known of the earlier life holds for it. ``name`` is what
-    the worker goes by on the wire and in the list, ``id`` itself if it is empty; ``born_ms`` is the
-    Unix time of its start in ms, None if it tells none.
+    ``id`` names this instance, the same at all boxes. A worker that restarts under its name is
+    another instance, and nothing known of the earlier one applies to it. ``name`` is the worker's
+    name on the wire and in the list; if empty, ``id`` is. ``born_ms`` is the Unix time of its start
+    in ms, None if it reports none.
     """
 
     id: str
@@ -182,7 +183,7 @@
 
     @property
     def list_name(self) -> str:
-        """What the worker list and the worker itself call it."""
+        """The worker's name in the worker list and in its own messages."""
         return self.name or self.id
 
     @property
@@ -196,13 +197,12 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class RequestFacts:
-    """What a reader of a callers' interface found out about one request.
+    """What the parser of a callers' interface extracted from one request.
 
-    ``headers`` are those to hand on: without those that concern one connection only and
-    without those that the router sets itself. ``time_left_s`` is None if the caller names
-    no deadline; ``resume_after`` is the last event that the caller already has. ``organisation``
-    is what the router found by the key, empty if the request needs none; ``declared_tokens`` is
-    None if the caller names no tokens.
+    ``headers`` are those to forward: without hop-by-hop headers and those that the router sets
+    itself. ``time_left_s`` is None if the caller sets no deadline; ``resume_after`` is the last
+    event that the caller already has. ``organisation`` is the router's lookup by key, empty if the
+    request needs none; ``declared_tokens`` is None if the caller declares no tokens.
     """
 
     id: str
@@ -225,7 +225,7 @@
 
     @property
     def digest(self) -> str:
-        """What all tries of one request have in common; few requests are asked for it."""
+        """The digest shared by all attempts of the request; computed only when needed."""
         return request_digest(
             caller=self.organisation,
             method=self.method,
@@ -236,10 +236,10 @@
 
     @property
     def last_prompt_part(self) -> str:
-        """The id of the prompt's last part, which is the request's own; empty if not told."""
+        """The id of the prompt's last part, which is specific to the request, or empty."""
         return self.prompt_parts[-1].partition(":")[0] if self.prompt_parts else ""
 
     @property
     def planned_output_tokens(self) -> int:
-        """Output tokens to reckon with: the caller's guess, or the most it asks for."""
+        """The output tokens to plan for: the caller's estimate, or else its maximum."""
         return self.output_tokens if self.expected_output is None else self.expected_output
