--- a/tests/systems/crash_world.py
+++ b/tests/systems/crash_world.py
@@ -1,9 +1,9 @@
-"""Boxes, workers and requests that end them, in virtual time: what the records come to at size.
+"""A virtual-time simulation of boxes, workers and requests that crash workers.
 
-Boxes tell one another as they do over the network: news goes at once to ten drawn at random, and on
-from each box that refuses a request by it; six ends go with each notice, twice a second. Datagrams
-are lost now and then, and not heard across a cut. Workers that end are back after some seconds as
-another life.
+Boxes exchange notices as over the network. A new crash is sent at once to ten boxes drawn at random
+and forwarded by each box that refuses a request because of it; six crashes go with each periodic
+notice, twice per second. Datagrams are lost now and then and don't cross a cut. Workers that crash
+return after some seconds as another instance.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 LOSS = 0.02
 NOTICE_INTERVAL_S = 0.5
 TIME_TO_CRASH_S = 0.1
-"""Seconds from a request's arrival at a worker to the worker's end."""
+"""Seconds from a request's arrival at a worker to the worker's crash."""
 
 RESTART_DELAY_S = 4.0
 ATTEMPTS = 2
@@ -39,7 +39,7 @@
 
 @dataclass
 class HealthyRequest:
-    """A request of another caller; it is sent on once, and its caller comes back once."""
+    """A request that crashes nothing; its box retries it once, and its caller repeats it once."""
 
     digest: str
     box: int
@@ -103,7 +103,7 @@
         self.at(NOTICE_INTERVAL_S * self.rng.uniform(0.8, 1.2), self._notice, box)
 
     def restart(self, box):
-        """A box begins anew; it reads what the store keeps of refused requests."""
+        """Restart a box, which reads the refused requests from the store."""
         kept = [
             notice
             for other in self.boxes
@@ -115,7 +115,7 @@
         box.joined_at = self.now
         box.records.merge(kept, self.now)
 
-    # Requests that end workers.
+    # Requests that crash workers.
 
     def send_bad(self, digest, box=None):
         box = box or self.rng.choice(self.boxes)
@@ -141,7 +141,7 @@
             self.at(DELAY_S, self._attempt_bad, digest, box, left)
 
     def crash(self, worker):
-        """A worker ends, and with it all that runs there; each box finds the port dead."""
+        """Crash a worker and break off all its requests; each box then finds its port closed."""
         self.alive.remove(worker)
         life, runs = self.lives[worker], self.running[worker]
         self.running[worker] = {}
@@ -194,10 +194,13 @@
             healthy.box = self.rng.randrange(len(self.boxes))
             self.at(0.3, self._start_attempt, healthy)
 
-    # What came of it.
+    # Results.
 
     def late_arrivals(self, digest):
-        """Arrivals at workers, from boxes in touch, later than it takes news to be known."""
+        """Count arrivals at workers that come later than the refusal should be known.
+
+        Only arrivals from boxes that have been connected for a while count.
+        """
         ended = sorted(self.ended_at.get(digest, []))
         if len(ended) < 3:
             return 0
--- a/tests/systems/test_crash_at_size.py
+++ b/tests/systems/test_crash_at_size.py
@@ -1,8 +1,8 @@
-"""Requests that end workers, at 8 to 360 boxes: how many they reach, and what others pay.
+"""Requests that crash workers, in fleets of 8 to 360 boxes: how many workers they reach.
 
-The pattern: one request, or ten, come again every second or so at any box, for twenty seconds.
-Bounds are the users' own (no more than three tries later than 3 s after the third end); figures
-are those of these seeds, in virtual time.
+One or ten such requests are repeated about every second at any box for twenty seconds. The users
+set the bounds: no more than three attempts later than 3 s after the third crash. The other figures
+hold for these seeds, in virtual time.
 """
 
 import random
@@ -23,7 +23,7 @@
 
 
 @pytest.mark.parametrize(("boxes", "workers", "halls"), SIZES)
-def test_one_such_request_ends_three_workers_or_hardly_more(boxes, workers, halls):
+def test_crashing_request_crashes_at_most_four_workers(boxes, workers, halls):
     world = World(boxes=boxes, workers=workers, halls=halls, seed=boxes)
     schedule_repeats(world, "bad")
     world.run(CRASHING_S)
@@ -33,7 +33,7 @@
 
 
 @pytest.mark.parametrize(("boxes", "workers", "halls"), SIZES)
-def test_repeats_at_all_boxes_at_once_end_no_more_once_they_are_known(boxes, workers, halls):
+def test_repeats_at_all_boxes_crash_no_worker_once_refused(boxes, workers, halls):
     world = World(boxes=boxes, workers=workers, halls=halls, seed=boxes)
     for burst in (1.0, 8.0, 15.0):
         for box in world.boxes:
@@ -43,7 +43,7 @@
 
 
 @pytest.mark.parametrize(("boxes", "workers", "halls"), SIZES)
-def test_ten_such_requests_side_by_side(boxes, workers, halls):
+def test_ten_crashing_requests_at_once(boxes, workers, halls):
     world = World(boxes=boxes, workers=workers, halls=halls, seed=boxes)
     for number in range(10):
         schedule_repeats(world, f"bad{number}", start=1.0 + 0.1 * number)
@@ -53,8 +53,8 @@
 
 
 @pytest.mark.parametrize(("boxes", "workers", "halls"), SIZES)
-def test_a_hall_that_is_cut_off_loses_a_few_of_its_own(boxes, workers, halls):
-    """It hears nobody: three workers end for it, and three for the others."""
+def test_hall_that_is_cut_off_loses_a_bounded_number_of_workers(boxes, workers, halls):
+    """The hall receives no notices, so three workers crash for it and three for the other halls."""
     world = World(boxes=boxes, workers=workers, halls=halls, seed=boxes)
     world.cut_halls = {0}
     schedule_repeats(world, "bad")
@@ -63,7 +63,7 @@
 
 
 @pytest.mark.parametrize(("boxes", "workers", "halls"), SIZES)
-def test_boxes_that_begin_anew_know_it_from_the_store(boxes, workers, halls):
+def test_restarted_boxes_read_refusals_from_the_store(boxes, workers, halls):
     world = World(boxes=boxes, workers=workers, halls=halls, seed=boxes)
     schedule_repeats(world, "bad")
     for number, box in enumerate(world.boxes):
@@ -73,7 +73,7 @@
 
 
 def schedule_crashes(world, share, gap_s):
-    """Workers that end for reasons of their own, again and again."""
+    """Crash a share of the workers every ``gap_s`` seconds, regardless of requests."""
 
     def strike():
         count = max(1, int(share * len(world.lives)))
@@ -96,11 +96,14 @@
     ],
     ids=["one in 5 s", "herds", "a share", "half at once", "one in 2 s", "four a second"],
 )
-def test_sound_requests_on_workers_that_end_for_other_reasons_are_hardly_ever_refused(
+def test_healthy_requests_are_rarely_refused_when_workers_crash_for_other_reasons(
     boxes, workers, share, gap_s, most
 ):
-    """Only those that lost three workers themselves: some in a hundred where a third to a half of
-    a service is away at any time, as in the last two cases; none in ten thousand before that."""
+    """Only requests that lost three workers themselves are refused.
+
+    These are a few per hundred where a third to a half of a service is down at any time, as in the
+    last two cases, and none in ten thousand in the cases before.
+    """
     world = World(boxes=boxes, workers=workers, seed=boxes, healthy_per_s=4.0 * workers)
     schedule_crashes(world, share, gap_s)
     world.run(60.0)
@@ -109,7 +112,7 @@
 
 
 @pytest.mark.parametrize(("boxes", "workers"), [(8, 4), (78, 60), (195, 62)])
-def test_sound_requests_beside_such_a_request_are_hardly_ever_refused(boxes, workers):
+def test_healthy_requests_beside_a_crashing_one_are_rarely_refused(boxes, workers):
     world = World(boxes=boxes, workers=workers, seed=boxes, healthy_per_s=4.0 * workers)
     schedule_repeats(world, "bad")
     world.run(CRASHING_S)
--- a/tests/systems/test_crash_guard.py
+++ b/tests/systems/test_crash_guard.py
@@ -1,4 +1,4 @@
-"""Requests that end engines, at the entry of a box and from box to box."""
+"""Requests that crash engines, at the entry of a box and between boxes."""
 
 from test_box import make
 from test_entry import end, make_entry, request, sent, start
@@ -13,7 +13,7 @@
 
 
 def crash_engines(entry, *engines, digest=DIGEST, at=100.0):
-    """End an engine under each of some tries of one request."""
+    """Crash one engine under each of several attempts of one request."""
     for number, engine in enumerate(engines):
         asked = request(f"r{number}", digest=digest)
         entry.crashes.note(asked, end(failed_engine=engine, engine_has_ended=True), at)
@@ -23,7 +23,7 @@
     return [command for command in commands if isinstance(command, RefuseRequest)]
 
 
-def test_a_request_is_refused_at_arrival_once_three_engines_have_ended_under_it():
+def test_request_is_refused_on_arrival_after_three_crashes():
     entry = make_entry()
     crash_engines(entry, "e1", "e2")
     assert sent(entry.arrive(request("r8", digest=DIGEST), 100.0), Reserve)
@@ -37,7 +37,7 @@
     assert sent(entry.arrive(request("r10", digest=other), 100.0), Reserve)
 
 
-def test_the_third_engine_is_the_last_also_within_one_request():
+def test_third_crash_ends_the_retries_of_a_running_request():
     entry = make_entry()
     crash_engines(entry, "e1", "e2")
     start(entry)
@@ -54,7 +54,7 @@
     assert refusal.ran is Ran.RAN
 
 
-def test_engines_that_break_off_and_live_are_held_against_no_request():
+def test_broken_off_attempts_without_a_crash_are_not_counted():
     entry = make_entry()
     for number in range(5):
         asked = request(f"r{number}", digest=DIGEST)
@@ -62,7 +62,7 @@
     assert not entry.crashes.records.by_digest
 
 
-def test_an_engine_that_ends_again_is_another_life_of_it():
+def test_later_crash_of_an_engine_counts_as_another_instance():
     guard = CrashGuard()
     asked = request("r", digest=DIGEST)
     for number in range(3):
@@ -71,7 +71,7 @@
     assert guard.refusal_left_s(asked, at) == 600.0
 
 
-def test_a_good_end_clears_it():
+def test_success_clears_earlier_crashes():
     entry = make_entry()
     crash_engines(entry, "e1", "e2")
     entry.crashes.note(request("r", digest=DIGEST), end(ok=True), 101.0)
@@ -79,7 +79,7 @@
     assert entry.crashes.refusal_left_s(request("r", digest=DIGEST), 102.0) == 0.0
 
 
-def test_boxes_tell_one_another_at_once_and_tell_on_what_is_refused():
+def test_notices_are_sent_at_once_and_forwarded_by_boxes_that_refuse():
     here, there, beyond = CrashGuard(), CrashGuard(), CrashGuard()
     asked = request("r", digest=DIGEST)
     for number in range(3):
@@ -92,7 +92,7 @@
     assert beyond.take_outgoing(100.2) and not beyond.take_outgoing(100.3)
 
 
-def test_a_box_that_was_not_there_hears_of_it_with_the_heartbeats():
+def test_box_that_missed_the_notice_gets_it_with_heartbeats():
     here, late = CrashGuard(), CrashGuard()
     asked = request("r", digest=DIGEST)
     for number in range(3):
@@ -103,7 +103,7 @@
     assert late.refusal_left_s(asked, 105.0) > 0.0
 
 
-def test_news_goes_to_the_boxes_that_hear_this_one():
+def test_crash_messages_go_to_peers_and_are_applied_there():
     systems = make(peers=("b1", "b2"))
     crash_engines(systems.entry, "e1", "e2", "e3")
     commands = systems._crash_news(100.0)
