--- a/tests/systems/test_worker_advice.py
+++ b/tests/systems/test_worker_advice.py
@@ -1,4 +1,4 @@
-"""What workers asked for: kept by life, bounded, and never taken back by older news."""
+"""Announcements of workers: kept per instance, bounded, and not revoked by older reports."""
 
 from croftchute.storage.watched import StoredItem
 from croftchute.systems.tracked_worker import GONE_GRACE_S
@@ -11,8 +11,8 @@
 from croftchute.systems.worker_table import WorkerTable
 from croftchute.tables.routing import Stage, Worker, WorkerState
 
-ALLOWED_IN_A_REST = 2
-"""Requests that the platform's rules let arrive during one rest."""
+MAX_ALLOWED_IN_BACKOFF = 2
+"""Requests that the platform's rules allow to arrive during one backoff."""
 
 
 def worker(name, *, born=None, state=WorkerState.READY, stage=None):
@@ -41,7 +41,7 @@
     return sorted(tracked.worker.id for tracked in table.usable("s", now, **options))
 
 
-def test_a_worker_that_leaves_is_used_only_while_no_other_is_left_and_not_for_long():
+def test_leaving_worker_is_a_last_resort_for_a_short_time():
     table = table_of(worker("a"), worker("b"))
     table.advice.note_leaving("a", 10.0)
     assert usable(table, 10.0) == ["b"]
@@ -50,7 +50,7 @@
     assert usable(table, 10.1 + GONE_GRACE_S) == []
 
 
-def test_its_entry_does_not_take_back_what_a_worker_said():
+def test_list_entry_does_not_revoke_that_a_worker_is_leaving():
     table = table_of(worker("a"), worker("b"))
     table.advice.note_leaving("a", 1.0)
     item = StoredItem(key="servers/a", value=b"", revision=90)
@@ -58,14 +58,14 @@
     assert usable(table, 2.0) == ["b"]
 
 
-def test_an_older_copy_of_the_list_does_not_bring_back_a_worker_that_was_seen_leaving():
+def test_older_list_does_not_restore_a_leaving_worker():
     table = table_of(worker("a"), worker("b"))
     table.upsert(worker("a", state=WorkerState.DRAINING), 1.0)
     table.upsert(worker("a"), 2.0)
     assert usable(table, 2.0) == ["b"]
 
 
-def test_a_worker_that_leaves_is_remembered_while_it_is_not_listed():
+def test_leaving_worker_is_remembered_while_unlisted():
     table = table_of(worker("a"), worker("b"))
     table.advice.note_leaving("a", 1.0)
     table.remove(["a"], 2.0)
@@ -75,7 +75,7 @@
     assert usable(table, 30.0) == ["b"]
 
 
-def test_a_new_life_of_a_worker_does_not_leave_with_the_old_one():
+def test_restarted_worker_is_not_leaving_or_in_backoff():
     table = table_of(worker("a", born=1), worker("b"))
     table.advice.note_leaving("a@1", 1.0)
     table.advice.note_backoff("a@1", 60.0, 1.0)
@@ -83,13 +83,13 @@
     assert usable(table, 2.0) == ["a@2", "b"]
 
 
-def test_what_peers_tell_of_leaving_makes_no_last_resort():
+def test_worker_reported_leaving_by_a_peer_is_no_last_resort():
     table = table_of(worker("a"))
     table.advice.note_leaving("a", 1.0, known_for_s=float("inf"))
     assert usable(table, 1.0) == []
 
 
-def test_resting_workers_are_passed_over_until_their_time_is_over():
+def test_workers_in_backoff_are_skipped_until_it_ends():
     table = table_of(worker("a"), worker("b"))
     table.advice.note_backoff("a", 3.0, 10.0)
     assert usable(table, 12.9) == ["b"]
@@ -97,7 +97,7 @@
     assert table.backoff_left_s("s", 11.0) == 0.0
 
 
-def test_where_all_rest_each_gets_few_requests_whatever_it_answers():
+def test_worker_in_backoff_gets_a_bounded_number_of_requests():
     table = table_of(worker("a"))
     table.advice.note_backoff("a", 3.0, 0.0)
     sent = 0
@@ -106,18 +106,18 @@
             sent += 1
             table.advice.note_sent("a", now)
             table.advice.note_backoff("a", 3.0, now)
-    assert sent == MAX_REQUESTS_IN_BACKOFF < ALLOWED_IN_A_REST
+    assert sent == MAX_REQUESTS_IN_BACKOFF < MAX_ALLOWED_IN_BACKOFF
     assert usable(table, 2.99) == []
 
 
-def test_what_is_told_as_the_time_of_return_is_the_first_end_of_a_rest():
+def test_retry_time_is_the_earliest_end_of_a_backoff():
     table = table_of(worker("a"), worker("b"))
     table.advice.note_backoff("a", 3.0, 0.0)
     table.advice.note_backoff("b", 5.0, 0.0)
     assert table.backoff_left_s("s", 1.0) == 2.0
 
 
-def test_engines_that_rest_are_no_last_resort_as_a_stream_takes_two_sendings():
+def test_engines_in_backoff_are_no_last_resort():
     table = table_of(worker("a", stage=Stage.DECODE))
     table.advice.note_backoff("a", 3.0, 0.0)
     assert usable(table, 1.0, stage=Stage.DECODE) == []
@@ -125,14 +125,14 @@
     assert table.backoff_left_s("s", 1.0, stage=Stage.PREFILL) == 0.0
 
 
-def test_a_shorter_rest_does_not_end_a_longer_one():
+def test_shorter_backoff_does_not_shorten_a_longer_one():
     advice = WorkerAdviceTable()
     advice.note_backoff("a", 10.0, 0.0)
     advice.note_backoff("a", 1.0, 1.0)
     assert advice.backoff_left_s("a", 5.0) == 5.0
 
 
-def test_wishes_are_bounded_and_forgotten():
+def test_leaving_workers_are_bounded_and_dropped():
     advice = WorkerAdviceTable()
     for n in range(MAX_LEAVING_WORKERS + 1):
         advice.note_leaving(f"w{n}", float(n))
--- a/tests/systems/test_worker_choice.py
+++ b/tests/systems/test_worker_choice.py
@@ -46,17 +46,17 @@
     assert chosen(table) == "large"
 
 
-def test_of_equals_the_near_one_is_chosen():
+def test_worker_in_the_same_hall_wins_a_tie():
     table = table_of(worker("far", zone="elsewhere"), worker("close"))
     assert {chosen(table, seed=seed) for seed in range(20)} == {"close"}
 
 
-def test_ties_are_spread():
+def test_ties_are_broken_at_random():
     table = table_of(worker("a"), worker("b"))
     assert {chosen(table, seed=seed) for seed in range(20)} == {"a", "b"}
 
 
-def test_a_failing_worker_is_avoided_until_it_has_rested_but_never_shut_out():
+def test_failing_worker_is_avoided_until_its_score_decays_but_not_excluded():
     table = table_of(worker("a"), worker("b"))
     table.note_failure("a", 2.0, 0.0)
     assert {chosen(table, seed=seed) for seed in range(20)} == {"b"}
@@ -68,14 +68,14 @@
     assert chosen(table_of(worker("a")), avoid=("a",)) is None
 
 
-def test_a_slow_worker_costs_more_than_a_quick_one():
+def test_slow_worker_costs_more_than_a_fast_one():
     table = table_of(worker("slow"), worker("quick"), worker("other"))
     for name, seconds in (("slow", 0.8), ("quick", 0.1), ("other", 0.1)):
         table.note_answer(name, seconds, 0.0)
     assert "slow" not in {chosen(table, seed=seed) for seed in range(20)}
 
 
-def test_the_memory_of_streams_counts_for_engines():
+def test_tokens_in_flight_count_for_engines():
     table = table_of(worker("a", slots=128, stage=Stage.DECODE), worker("b", slots=128))
     table.note_sent("a", 9000)
     context = ChoiceContext(zone="near", peers=PeerTable(own_id="me"), kv_tokens=10000)
@@ -100,8 +100,8 @@
     assert 120 < picked.count("b") < 280
 
 
-def test_a_prompt_is_offered_to_the_same_few_of_many_workers_at_every_box():
-    """After all boxes were restarted nobody knew which of 62 engines kept a prompt."""
+def test_affinity_compares_the_same_workers_for_a_prompt_at_every_box():
+    """After a restart of all boxes, none knew which of 62 engines had a prompt cached."""
     table = table_of(*(worker(f"w{number}") for number in range(60)))
     usable = table.usable("s", 0.0)
 
--- a/tests/systems/test_worker_limits.py
+++ b/tests/systems/test_worker_limits.py
@@ -1,4 +1,4 @@
-"""What is known of the limits that workers name: named, changed, left out, over, forgotten."""
+"""The limits that workers report: new, changed, omitted, ended and dropped."""
 
 import pytest
 
@@ -13,52 +13,52 @@
 NOW = 100.0
 
 
-def named(per_s=2.0, now=NOW):
+def limits_with_report(per_s=2.0, now=NOW):
     limits = WorkerLimits()
     assert limits.note_limit("w1", per_s, now)
     return limits
 
 
-def test_a_limit_holds_while_no_answer_leaves_it_out_however_long_ago_it_was_named():
-    limits = named()
+def test_limit_holds_until_an_answer_omits_it():
+    limits = limits_with_report()
     assert limits.limit_of("w1", NOW + 300.0) == 2.0
     assert limits.limit_of("w2", NOW) is None
 
 
-def test_it_is_news_once_and_again_when_it_changes():
-    limits = named(2.0)
+def test_limit_is_new_once_and_again_when_it_changes():
+    limits = limits_with_report(2.0)
     assert not limits.note_limit("w1", 2.0, NOW + 1.0)
     assert limits.note_limit("w1", 0.5, NOW + 2.0)
     assert limits.limit_of("w1", NOW + 2.0) == 0.5
 
 
-def test_one_answer_that_leaves_it_out_ends_nothing_where_the_next_names_it():
-    limits = named()
+def test_single_answer_without_the_limit_does_not_end_it():
+    limits = limits_with_report()
     for n in range(20):
         limits.note_no_limit("w1", NOW + n + 0.5)
         limits.note_limit("w1", 2.0, NOW + n + 1.0)
         assert limits.limit_of("w1", NOW + n + 1.0) == 2.0
 
 
-def test_it_is_over_some_seconds_after_it_was_named_last_once_an_answer_leaves_it_out():
-    limits = named()
+def test_limit_ends_after_a_delay_once_an_answer_omits_it():
+    limits = limits_with_report()
     limits.note_no_limit("w1", NOW + 0.1)
     assert limits.limit_of("w1", NOW + LIMIT_END_DELAY_S - 0.1) == 2.0
     assert limits.limit_of("w1", NOW + LIMIT_END_DELAY_S) is None
-    late = named()
+    late = limits_with_report()
     late.note_no_limit("w1", NOW + 60.0)
     assert late.limit_of("w1", NOW + 60.0) is None
 
 
-def test_an_older_account_of_another_box_changes_nothing():
-    limits = named(0.5)
+def test_older_report_of_another_box_is_ignored():
+    limits = limits_with_report(0.5)
     assert not limits.note_limit("w1", 12.0, NOW + 1.0, known_for_s=3.0)
     limits.note_no_limit("w1", NOW + 1.0, known_for_s=3.0)
     assert limits.limit_of("w1", NOW + 60.0) == 0.5
 
 
-def test_a_naming_that_goes_round_among_boxes_does_not_get_newer():
-    limits = named()
+def test_report_circulating_among_boxes_does_not_get_newer():
+    limits = limits_with_report()
     limits.note_no_limit("w1", NOW + 0.005)
     for n in range(1, 8):
         now = NOW + 0.5 * n
@@ -66,14 +66,14 @@
     assert limits.limit_of("w1", NOW + LIMIT_END_DELAY_S) is None
 
 
-def test_of_two_namings_in_one_moment_that_differ_the_newer_holds():
-    limits = named(10.0)
+def test_newer_of_two_different_reports_wins():
+    limits = limits_with_report(10.0)
     assert limits.note_limit("w1", 2.0, NOW + 0.5, known_for_s=0.49)
     assert limits.limit_of("w1", NOW + 0.5) == 2.0
 
 
-def test_a_limit_that_is_over_does_not_come_back_by_an_older_account():
-    limits = named()
+def test_ended_limit_is_not_restored_by_an_older_report():
+    limits = limits_with_report()
     limits.note_no_limit("w1", NOW + 1.0)
     over_at = NOW + LIMIT_END_DELAY_S
     assert limits.sweep(over_at, listed={"w1"}) == ["w1"]
@@ -85,22 +85,22 @@
 
 
 @pytest.mark.parametrize("kept_s", [LIMIT_END_DELAY_S + ENDED_LIMIT_TTL_S + 1.0])
-def test_what_is_long_over_is_forgotten(kept_s):
-    limits = named()
+def test_limit_that_ended_long_ago_is_dropped(kept_s):
+    limits = limits_with_report()
     limits.note_no_limit("w1", NOW + 1.0)
     limits.sweep(NOW + kept_s, listed={"w1"})
     assert not limits.by_id
 
 
-def test_the_limit_of_a_worker_that_is_not_listed_is_kept_for_a_while():
-    limits = named()
+def test_limit_of_an_unlisted_worker_is_kept_for_a_while():
+    limits = limits_with_report()
     limits.sweep(NOW + UNLISTED_TTL_S - 1.0, listed=())
     assert limits.by_id
     limits.sweep(NOW + UNLISTED_TTL_S + 1.0, listed=())
     assert not limits.by_id
 
 
-def test_no_more_than_so_many_are_kept():
+def test_limits_are_bounded():
     limits = WorkerLimits()
     for n in range(MAX_LIMITED_WORKERS + 5):
         limits.note_limit(f"w{n}", 1.0, NOW + n)
--- a/tests/systems/test_worker_table.py
+++ b/tests/systems/test_worker_table.py
@@ -28,20 +28,20 @@
     assert ids(table.usable("s", 1.0)) == ["b"]
 
 
-def test_an_entry_that_is_only_seen_again_is_no_change():
+def test_repeated_entry_is_no_change():
     table = WorkerTable()
     assert table.upsert(worker("a"), 0.0)
     assert not table.upsert(worker("a"), 1.0)
 
 
-def test_an_older_entry_does_not_undo_a_newer_one():
+def test_older_entry_does_not_replace_a_newer_one():
     table = WorkerTable()
     table.upsert(worker("a", WorkerState.DRAINING), 0.0, item(9))
     assert not table.upsert(worker("a"), 1.0, item(8))
     assert table.usable("s", 1.0) == []
 
 
-def test_a_worker_that_left_the_list_is_a_last_resort_for_a_short_time():
+def test_removed_worker_is_a_last_resort_for_a_short_time():
     table = WorkerTable()
     table.upsert(worker("a"), 0.0)
     table.upsert(worker("b"), 0.0)
@@ -60,7 +60,7 @@
     assert ids(table.usable("s", 9.0)) == ["a"]
 
 
-def test_sweep_keeps_a_gone_worker_while_it_runs_something_of_ours():
+def test_sweep_keeps_a_removed_worker_while_it_runs_requests_of_this_box():
     table = WorkerTable()
     table.upsert(worker("a"), 0.0)
     table.note_sent("a", 10)
@@ -70,7 +70,7 @@
     assert table.sweep(100.0) == ["a"]
 
 
-def test_a_whole_listing_marks_the_missing_as_gone():
+def test_complete_listing_marks_missing_workers_as_removed():
     table = WorkerTable()
     for name in "abc":
         table.upsert(worker(name), 0.0)
@@ -85,7 +85,7 @@
     assert table.usable("s", 0.0) == []
 
 
-def test_stages_are_told_apart_and_plain_workers_have_none():
+def test_usable_filters_by_stage_and_plain_workers_have_none():
     table = WorkerTable()
     table.upsert(worker("p", stage=Stage.PREFILL), 0.0)
     table.upsert(worker("d", stage=Stage.DECODE), 0.0)
@@ -94,7 +94,7 @@
     assert ids(table.usable("t", 0.0, stage=Stage.DECODE)) == ["plain"]
 
 
-def test_failures_fade_and_an_answer_halves_them():
+def test_failure_score_decays_and_an_answer_halves_it():
     table = WorkerTable()
     table.upsert(worker("a"), 0.0)
     tracked = table.tracked_by_id["a"]
@@ -104,7 +104,7 @@
     assert tracked.failure_score(2.0) == 0.5
 
 
-def test_load_told_by_a_worker_counts_others_only_and_not_for_long():
+def test_reported_load_counts_other_boxes_only_and_expires():
     table = WorkerTable()
     table.upsert(worker("a"), 0.0)
     tracked = table.tracked_by_id["a"]
@@ -121,8 +121,8 @@
     return table
 
 
-def test_workers_whose_entries_lapse_together_are_used_until_they_are_listed_again():
-    """The first that was listed again used to get the work of all."""
+def test_workers_stay_usable_after_a_mass_expiry():
+    """Without this, the first worker that registered again got the work of all."""
     table = listed("a", "b", "c")
     assert table.remove(["a", "b", "c"], 1.0) == ["a", "b", "c"]
     table.upsert(worker("b"), 1.3)
@@ -131,21 +131,21 @@
     assert table.sweep(1.0 + MASS_EXPIRY_GRACE_S + 0.01) == ["a", "c"]
 
 
-def test_the_grace_of_lapsed_entries_can_be_shorter():
+def test_mass_expiry_grace_can_be_shorter():
     table = listed("a", "b")
     table.mass_expiry_grace_s = 1.5
     table.remove(["a", "b"], 1.0)
     assert table.usable("s", 2.6) == []
 
 
-def test_one_worker_of_many_that_goes_has_not_lapsed():
+def test_removal_of_a_few_workers_is_no_mass_expiry():
     table = listed("a", "b", "c", "d", "e")
     table.remove(["a", "b"], 1.0)
     assert ids(table.usable("s", 1.1)) == ["c", "d", "e"]
     assert not table.is_mass_expired("a")
 
 
-def test_a_worker_whose_entry_lapsed_while_draining_gets_nothing():
+def test_draining_worker_whose_entry_expired_gets_no_work():
     table = WorkerTable()
     table.upsert(worker("a"), 0.0)
     table.upsert(worker("b", WorkerState.DRAINING), 0.0)
@@ -162,8 +162,8 @@
     assert table.usable("t", 1.0) == []
 
 
-def test_a_worker_that_answered_with_its_old_stage_is_used_again_once_it_is_listed_anew():
-    """It refuses what its new stage does not do, as another one at its address would."""
+def test_displaced_worker_is_used_again_once_listed_with_its_new_stage():
+    """It rejects work of its former stage as another worker at its address would."""
     table = WorkerTable()
     table.upsert(worker("a", stage=Stage.PREFILL), 0.0)
     table.note_displaced("a")
@@ -173,8 +173,8 @@
     assert ids(table.usable("s", 1.0, stage=Stage.DECODE)) == ["a"]
 
 
-def test_a_worker_that_changes_its_stage_gets_no_work_until_the_list_shows_it():
-    """It granted room and refused the work; a call that may be sent once was lost by that."""
+def test_worker_changing_its_stage_gets_no_work_until_it_is_listed():
+    """A worker granted room and then refused the work, which lost a call that may be sent once."""
     table = WorkerTable()
     table.upsert(worker("a", stage=Stage.PREFILL), 0.0)
     table.upsert(worker("b", stage=Stage.PREFILL), 0.0)
@@ -184,15 +184,15 @@
     assert ids(table.usable("s", 5.0, stage=Stage.DECODE)) == ["a"]
 
 
-def test_a_change_that_comes_to_nothing_is_believed_for_some_seconds_only():
+def test_stage_change_that_does_not_happen_expires():
     table = WorkerTable()
     table.upsert(worker("a", stage=Stage.PREFILL), 0.0)
     table.note_changing("a", Stage.DECODE, 1.0, for_s=8.0)
     assert ids(table.usable("s", 9.1, stage=Stage.PREFILL)) == ["a"]
 
 
-def test_a_change_that_is_told_again_and_again_is_news_once():
-    """Boxes pass it on to each other; each would otherwise renew what another had it from."""
+def test_repeated_report_of_a_stage_change_is_new_once():
+    """Boxes pass the report on to each other and must not renew each other's copy."""
     table = WorkerTable()
     table.upsert(worker("a", stage=Stage.PREFILL), 0.0)
     assert table.note_changing("a", Stage.DECODE, 1.0, for_s=8.0)
@@ -201,14 +201,14 @@
     assert ids(table.usable("s", 9.1, stage=Stage.PREFILL)) == ["a"]
 
 
-def test_a_change_that_the_list_shows_already_is_no_news():
+def test_stage_change_already_listed_is_not_new():
     table = WorkerTable()
     table.upsert(worker("a", stage=Stage.DECODE), 0.0)
     assert not table.note_changing("a", Stage.DECODE, 1.0, for_s=8.0)
     assert ids(table.usable("s", 1.0, stage=Stage.DECODE)) == ["a"]
 
 
-def test_the_usual_pause_of_a_worker_is_learnt_from_its_steps():
+def test_chunk_gap_follows_the_moving_average():
     table = WorkerTable()
     table.upsert(worker("a"), 0.0)
     table.note_chunk_gap("unknown", 1.0)
