--- a/tests/systems/test_fleet_size.py
+++ b/tests/systems/test_fleet_size.py
@@ -1,16 +1,16 @@
-"""The count of boxes that limits are divided by: never too small, and right again in the end."""
+"""The count of boxes that limits are divided by: never too small, and corrected in time."""
 
 import pytest
 
 from croftchute.systems.fleet_size import SHRINK_DELAY_S, FleetSize
 
 
-def test_a_box_that_knows_neither_the_record_nor_anybody_has_no_share():
+def test_box_without_the_record_has_no_share():
     assert FleetSize().share(1) == 0.0
     assert FleetSize().share(40) == 0.0
 
 
-def test_a_box_that_was_just_started_counts_by_the_record():
+def test_just_started_box_uses_the_record():
     assert FleetSize(recorded=78).share(1) == pytest.approx(1 / 78)
 
 
@@ -20,7 +20,7 @@
     assert size.to_record(50, now=1.0) == 50
 
 
-def test_a_count_that_was_told_stands_for_the_record_and_never_lowers_it():
+def test_reported_count_stands_in_for_the_record_and_never_lowers_it():
     size = FleetSize()
     size.note_told(0)
     assert not size.is_known
@@ -29,14 +29,14 @@
     assert size.recorded == 60
 
 
-def test_fewer_boxes_are_recorded_only_after_they_have_been_fewer_for_long():
+def test_lower_count_is_recorded_only_after_a_delay():
     size = FleetSize(recorded=78)
     assert size.to_record(52, now=10.0) is None
     assert size.to_record(52, now=10.0 + SHRINK_DELAY_S - 1.0) is None
     assert size.to_record(52, now=10.0 + SHRINK_DELAY_S) == 52
 
 
-def test_boxes_that_come_back_meanwhile_begin_the_wait_anew():
+def test_returning_boxes_restart_the_delay():
     size = FleetSize(recorded=78)
     assert size.to_record(52, now=10.0) is None
     assert size.to_record(78, now=200.0) is None
--- a/tests/systems/test_hall_relays.py
+++ b/tests/systems/test_hall_relays.py
@@ -1,4 +1,4 @@
-"""Who reads the store in a hall: a few boxes, the same in all views, and others once they fail."""
+"""Which boxes of a hall read the store: a few, the same in all views, and others on failure."""
 
 from croftchute.systems.hall_relays import (
     MAX_RELAYS,
@@ -31,7 +31,7 @@
 
 
 def followed(ids=IDS, now=0.0):
-    """Whom each box of a hall follows; None for those that read the store."""
+    """Return which box each box of a hall follows; None for those that read the store."""
     found = {}
     for box_id in ids:
         relays = HallRelays(own_id=box_id, hall="north")
@@ -47,7 +47,7 @@
     assert {relay for relay in found.values() if relay is not None} == reading
 
 
-def test_the_followers_are_shared_out():
+def test_followers_are_spread_over_the_relays():
     found = followed()
     counts = [list(found.values()).count(relay) for relay in rank_nodes("north", IDS)[:RELAY_COUNT]]
     assert min(counts) >= 4
@@ -57,7 +57,7 @@
     assert set(followed(IDS[: MIN_HALL_SIZE - 1]).values()) == {None}
 
 
-def test_a_reader_that_gave_no_news_is_passed_over_for_a_while():
+def test_relay_without_updates_is_skipped_for_a_while():
     own = rank_nodes("north", IDS)[-1]
     relays = HallRelays(own_id=own, hall="north")
     hall_peers = hall_peers_of(own)
@@ -68,7 +68,7 @@
     assert relays.relay_to_ask(hall_peers, RELAY_BACKOFF_S + 0.1).id == first.id
 
 
-def test_a_box_whom_no_reader_answers_reads_the_store_itself():
+def test_box_reads_the_store_itself_if_no_relay_answers():
     own = rank_nodes("north", IDS)[-1]
     relays = HallRelays(own_id=own, hall="north")
     hall_peers = hall_peers_of(own)
@@ -79,7 +79,7 @@
     assert asked == set(rank_nodes("north", IDS)[:MAX_RELAYS])
 
 
-def test_a_box_that_is_asked_reads_for_a_while_even_if_it_ranks_low():
+def test_box_that_was_asked_reads_for_a_while_even_if_it_ranks_low():
     own = rank_nodes("north", IDS)[-1]
     relays = HallRelays(own_id=own, hall="north")
     hall_peers = hall_peers_of(own)
@@ -88,7 +88,7 @@
     assert relays.relay_to_ask(hall_peers, RELAY_DUTY_S + 0.1) is not None
 
 
-def test_when_a_reader_is_gone_the_next_in_rank_takes_its_place():
+def test_next_box_in_rank_replaces_a_stopped_relay():
     gone, *_, last = rank_nodes("north", IDS)
     left = [box for box in IDS if box != gone]
     assert {box for box, relay in followed(left).items() if relay is None} == set(
@@ -108,7 +108,7 @@
 
 
 def followed_by_link(mbps_by_id):
-    """Whom each box of a hall follows, where boxes know the rates of each other's links."""
+    """Return which box each box follows if boxes know the rates of each other's links."""
     found = {}
     for box_id, own_mbps in mbps_by_id.items():
         relays = HallRelays(own_id=box_id, hall="north", own_mbps=own_mbps)
@@ -119,14 +119,14 @@
 
 
 def test_boxes_with_wide_links_read_for_those_with_narrow_ones():
-    """The relays of a hall had links of 5 Mbit/s, on which a long configuration takes seconds."""
+    """Relays with links of 5 Mbit/s took seconds to forward a long configuration."""
     wide = IDS[7:9]
     found = followed_by_link({box: 100.0 if box in wide else 5.0 for box in IDS})
     assert {box for box, relay in found.items() if relay is None} == set(wide)
     assert {relay for relay in found.values() if relay is not None} == set(wide)
 
 
-def test_one_wide_link_is_joined_by_the_first_of_the_others():
+def test_single_wide_link_is_joined_by_the_first_of_the_others():
     found = followed_by_link({box: 100.0 if box == IDS[3] else 5.0 for box in IDS})
     first = next(box for box in rank_nodes("north", IDS) if box != IDS[3])
     assert {box for box, relay in found.items() if relay is None} == {IDS[3], first}
--- a/tests/systems/test_peer_table.py
+++ b/tests/systems/test_peer_table.py
@@ -50,7 +50,7 @@
 
 
 def test_boxes_whose_demand_counts_are_counted_for_as_long():
-    """Demand is scaled by this count: another time limit than that of the sum would skew it."""
+    """Demand is scaled by this count, so both must use the same time limit."""
     table = PeerTable(own_id="me")
     table.apply_notice("b", NOTICE, 0.0)
     table.apply_notice("c", NOTICE, 1.0)
@@ -58,14 +58,14 @@
     assert table.demand("s", FRESH_S + 0.5).asks == 10
 
 
-def test_an_earlier_life_of_a_box_is_not_heard():
+def test_notice_from_before_a_restart_is_ignored():
     table = PeerTable(own_id="me")
     table.apply_notice("b", NOTICE, 0.0)
     assert not table.apply_notice("b", replace(NOTICE, started_at=50.0, config_version=9), 1.0)
     assert table.peers_by_id["b"].config_version == 3
 
 
-def test_its_own_notice_is_not_a_peer():
+def test_own_notice_is_ignored():
     table = PeerTable(own_id="me")
     assert not table.apply_notice("me", NOTICE, 0.0)
     assert table.boxes(0.0) == 1
@@ -79,7 +79,7 @@
     assert table.forget(FORGET_S + 1.0) == ["b"]
 
 
-def test_a_large_fleet_costs_a_bounded_number_of_notices():
+def test_notice_targets_are_bounded_in_a_large_fleet():
     table = PeerTable(own_id="me", seeds=(("10.9.9.9", 1),))
     for number in range(400):
         table.apply_notice(f"box-{number}", replace(NOTICE, host=f"10.0.1.{number}"), 0.0)
@@ -102,7 +102,7 @@
     assert table.newest(60.0, random.Random(1)) == (None, None)
 
 
-def test_what_some_boxes_told_stands_for_all():
+def test_averages_do_not_depend_on_the_number_of_fresh_peers():
     """Averages do not depend on how many peers were heard lately."""
     table = PeerTable(own_id="me")
     table.apply_notice("b", NOTICE, 0.0)
@@ -115,7 +115,7 @@
     assert all_heard.mix is not None and all_heard.mix.prompt_tokens == 50.0
 
 
-def test_the_longest_wait_that_peers_told_of_fades():
+def test_longest_wait_reported_by_peers_decays():
     table = PeerTable(own_id="me")
     told = replace(NOTICE, workers=(WorkerNotice(worker="p", in_flight=1, failures=0, wait_s=0.8),))
     table.apply_notice("b", told, 0.0)
@@ -138,7 +138,7 @@
     assert sum(host in north for host, _ in targets) == HALL_FANOUT
 
 
-def test_a_small_hall_leaves_its_notices_to_the_others():
+def test_small_hall_sends_the_remaining_notices_to_other_halls():
     table = PeerTable(own_id="me", hall="north")
     for number in range(60):
         hall = "north" if number < 2 else "south"
@@ -160,8 +160,8 @@
     assert asked == {f"box-{number}" for number in range(4)}
 
 
-def test_a_box_that_is_leaving_is_asked_only_for_what_no_other_knows():
-    """It may end in the middle of its answer; but it may be the first that the store told."""
+def test_leaving_box_is_asked_only_for_what_no_other_has():
+    """It may stop in the middle of its answer, but may also be the first to have read the store."""
     table = PeerTable(own_id="me", hall="north")
     table.apply_notice(
         "leaving", replace(NOTICE, config_version=9, hall="north", is_leaving=True), 0.0
@@ -175,7 +175,10 @@
 
 
 def two_halls(now):
-    """Boxes of two halls, each heard at another time; one of each hall was heard just now."""
+    """Return a table of two halls whose boxes were heard at different times.
+
+    One box of each hall was heard just now.
+    """
     table = PeerTable(own_id="me", hall="north")
     for hall in ("north", "south"):
         for number, ago_s in enumerate((0.1, 9.0, 30.0)):
@@ -183,8 +186,8 @@
     return table
 
 
-def test_boxes_that_are_heard_of_seldom_are_reachable_while_their_hall_is_heard():
-    """In a fleet of 78, a fifth of the boxes of other halls was not heard for 15 s at any time."""
+def test_rarely_heard_boxes_are_reachable_while_their_hall_is():
+    """In a fleet of 78, a fifth of other halls' boxes was silent for 15 s at any time."""
     now = 100.0
     table = two_halls(now)
     assert len(table.reachable(now)) == 6
@@ -193,7 +196,7 @@
     assert len(table.reachable(now)) == 6
 
 
-def test_a_hall_that_fell_silent_is_not_reachable_until_it_is_heard_again():
+def test_silent_hall_is_unreachable_until_a_notice_arrives():
     now = 100.0
     table = two_halls(now)
     later = now + HALL_TIMEOUT_S
@@ -203,12 +206,12 @@
     assert len(table.reachable(later + 0.1)) == 6
 
 
-def test_a_box_that_hears_nobody_reaches_nobody():
+def test_box_that_receives_no_notices_reaches_nobody():
     assert two_halls(100.0).reachable(100.0 + 2 * HALL_TIMEOUT_S) == []
 
 
 def entries_by_full_scan(table, worker_id, now):
-    """What a look through all that each peer told finds."""
+    """Return the fresh entries found by a scan of all peers, as a reference."""
     return [
         entry
         for peer in table.peers_by_id.values()
--- a/tests/systems/test_retry_budget.py
+++ b/tests/systems/test_retry_budget.py
@@ -23,13 +23,13 @@
         assert recent_repeats <= LIMITS.ratio * recent_requests + LIMITS.slack
 
 
-def test_a_budget_comes_back_with_time():
+def test_budget_is_restored_after_the_window():
     window = RetryWindow(limits=RetryLimits(ratio=0.0, window_s=10.0, slack=2.0))
     assert window.spend(0.0, boxes=1)
     assert not window.spend(1.0, boxes=1)
     assert window.spend(10.5, boxes=1)
 
 
-def test_more_boxes_leave_less_for_each():
+def test_share_of_a_box_shrinks_with_more_boxes():
     window = RetryWindow(limits=LIMITS)
     assert window.allowed(0.0, boxes=16) < window.allowed(0.0, boxes=4)
--- a/tests/tables/test_routing.py
+++ b/tests/tables/test_routing.py
@@ -1,4 +1,4 @@
-"""What a request's facts say of it."""
+"""The digest of a request."""
 
 import pytest
 
@@ -16,7 +16,7 @@
 }
 
 
-def test_all_tries_of_a_request_have_one_digest():
+def test_all_attempts_of_a_request_have_one_digest():
     first = RequestFacts(**SENT)
     again = RequestFacts(**SENT | {"id": "r2", "headers": [(b"x", b"y")], "time_left_s": 1.0})
     assert first.digest == again.digest
@@ -33,5 +33,5 @@
     ],
     ids=lambda change: next(iter(change)),
 )
-def test_another_organisations_paths_or_bodys_request_has_another_digest(change):
+def test_request_that_differs_has_another_digest(change):
     assert RequestFacts(**SENT).digest != RequestFacts(**SENT | change).digest
