--- a/tests/systems/test_allowance_pool.py
+++ b/tests/systems/test_allowance_pool.py
@@ -1,4 +1,4 @@
-"""What a pool gives out, by the shares that were lent to it."""
+"""What a pool grants for the shares that were lent to it."""
 
 import random
 
@@ -11,8 +11,8 @@
 BOXES = 40
 
 
-def given_in(seconds, share):
-    """What a flood gets of a pool to which forty boxes lend such a share each."""
+def granted_ratio(seconds, share):
+    """Return the part of the limit granted under overload, if forty boxes lend a share each."""
     limit = crew_limit()
     known = {CREW: Organisation(name=CREW, limit=limit)}
     pool = AllowancePool(terms=TERMS)
@@ -27,17 +27,17 @@
     return given / (limit.rate_per_s * seconds)
 
 
-def test_shares_that_make_up_the_limit_bring_it_in():
-    assert 0.9 < given_in(20.0, 1.0 / BOXES) <= 1.0
+def test_shares_that_sum_to_the_limit_grant_the_limit():
+    assert 0.9 < granted_ratio(20.0, 1.0 / BOXES) <= 1.0
 
 
-def test_boxes_that_count_too_few_others_bring_in_no_more_than_the_limit():
-    """After a power loss of a whole fleet boxes know few others for seconds."""
-    assert given_in(20.0, 4.0 / BOXES) <= 1.0
+def test_boxes_that_count_too_few_others_do_not_exceed_the_limit():
+    """After a power loss of the whole fleet, boxes know few others for some seconds."""
+    assert granted_ratio(20.0, 4.0 / BOXES) <= 1.0
 
 
-def given_at_once(pool, now=100.0):
-    """What an organisation gets of a pool in one moment, in requests of 100 units."""
+def granted_at_once(pool, now=100.0):
+    """Return what an organisation is granted in one moment, in requests of 100 units."""
     known = {CREW: Organisation(name=CREW, limit=crew_limit())}
     want = UsageWant(name=CREW, units=100.0)
     given = 0.0
@@ -51,34 +51,34 @@
         pool.lend(f"b{box}", 1.0 / BOXES, echo=now, now=now, is_first=is_first)
 
 
-def test_shares_of_boxes_that_were_just_started_bring_a_part_of_the_excess_at_once():
+def test_shares_of_just_started_boxes_add_the_start_credit():
     pool = AllowancePool(terms=TERMS)
     lend_all(pool, is_first=True)
     credit = TERMS.start_credit(crew_limit())
-    assert credit - 100.0 <= given_at_once(pool) <= credit
+    assert credit - 100.0 <= granted_at_once(pool) <= credit
 
 
-def test_shares_that_come_from_another_pool_bring_nothing_at_once():
+def test_shares_moved_from_another_pool_add_no_credit():
     pool = AllowancePool(terms=TERMS)
     lend_all(pool, is_first=False)
-    assert given_at_once(pool) == 0.0
+    assert granted_at_once(pool) == 0.0
 
 
-def test_a_first_share_that_comes_again_brings_nothing_more():
+def test_repeated_first_share_adds_no_more_credit():
     pool = AllowancePool(terms=TERMS)
     lend_all(pool, is_first=True)
-    given_at_once(pool)
+    granted_at_once(pool)
     lend_all(pool, is_first=True)
-    assert given_at_once(pool) == 0.0
+    assert granted_at_once(pool) == 0.0
     now = 100.0
     while now < 110.0:
         now += 0.25
         lend_all(pool, is_first=True, now=now)
     saved = crew_limit().rate_per_s * 10.0
-    assert given_at_once(pool, now) <= min(saved, TERMS.capacity(crew_limit()))
+    assert granted_at_once(pool, now) <= min(saved, TERMS.capacity(crew_limit()))
 
 
-def test_what_is_scarce_goes_to_the_more_urgent_first():
+def test_more_urgent_requests_get_scarce_units_first():
     limit = usage_limit(2.0)
     known = {CREW: Organisation(name=CREW, limit=limit)}
     pool = AllowancePool(terms=WORKER_TERMS)
--- a/tests/systems/test_lent_shares.py
+++ b/tests/systems/test_lent_shares.py
@@ -1,8 +1,8 @@
-"""Limits over all boxes by lent shares: never more than the limit, whatever happens between boxes.
+"""Limits shared by lent shares: never exceeded, whatever happens between boxes.
 
-The loads answer what is seen in the field: an organisation that sends several times its usual,
-through a few boxes or all, while halls are cut, boxes pause, lose power or start anew. The sizes
-are those of a fleet of 78 boxes with 16 organisations, some requests of 4,000 tokens.
+The loads follow what is seen in the field: an organisation sends several times its usual load
+through a few boxes or all, while halls are cut off and boxes pause, lose power or restart. The
+sizes are those of a fleet of 78 boxes with 16 organisations, with some requests of 4,000 tokens.
 """
 
 import random
@@ -18,7 +18,7 @@
 from croftchute.systems.usage_bucket import UsageBucket
 
 FLOOD_TOKENS_PER_S = 400_000.0
-"""Tokens a second: four times the limit, as one organisation at seven times its usual asks."""
+"""Four times the limit, as one organisation requests at seven times its usual load."""
 
 
 def allowed(world):
@@ -32,7 +32,7 @@
 
 
 @pytest.mark.parametrize("through", [None, ["b0", "b1", "b2"], ["b7"]])
-def test_below_the_limit_nobody_is_refused_wherever_requests_come_in(through):
+def test_below_the_limit_no_request_is_refused_at_any_box(through):
     world = world_with_leases(boxes=24)
     world.load(5.0, 30.0, 60_000.0, through=through)
     world.run(31.0)
@@ -40,8 +40,8 @@
     assert world.refused + world.unanswered == 0
 
 
-def refused_by_fixed_shares(through, units_per_s, *, boxes=24, request=4000.0):
-    """The naive way: each box keeps to its own share of the same limit."""
+def refused_ratio_with_fixed_shares(through, units_per_s, *, boxes=24, request=4000.0):
+    """Return the ratio refused if each box applies its own fixed share of the limit."""
     limit = crew_limit()
     capacity = TERMS.capacity(limit) / boxes
     buckets = [UsageBucket(level=capacity, filled_to=0.0) for _ in range(through)]
@@ -56,13 +56,15 @@
     return refused / asked
 
 
-def test_the_naive_way_refuses_most_of_what_comes_through_few_boxes_below_the_limit():
-    assert refused_by_fixed_shares(3, 60_000.0) > 0.5
-    assert refused_by_fixed_shares(24, 60_000.0) < refused_by_fixed_shares(3, 60_000.0)
+def test_fixed_shares_refuse_most_requests_that_come_through_few_boxes():
+    assert refused_ratio_with_fixed_shares(3, 60_000.0) > 0.5
+    assert refused_ratio_with_fixed_shares(24, 60_000.0) < refused_ratio_with_fixed_shares(
+        3, 60_000.0
+    )
 
 
 @pytest.mark.parametrize("through", [None, ["b0", "b1", "b2"], ["b7"]])
-def test_a_flood_gets_its_limit_and_not_more(through):
+def test_overload_gets_the_limit_and_no_more(through):
     world = world_with_leases(boxes=24)
     world.load(5.0, 30.0, FLOOD_TOKENS_PER_S, through=through)
     world.run(31.0)
@@ -72,7 +74,7 @@
 
 
 @pytest.mark.parametrize("cut_for_s", [3.0, 12.0])
-def test_cut_halls_together_stay_within_the_limit_and_each_goes_on(cut_for_s):
+def test_halls_cut_apart_stay_within_the_limit_and_keep_serving(cut_for_s):
     world = world_with_leases(boxes=24)
     hall = {f"b{n}" for n in range(8)}
     world.load(5.0, 30.0, FLOOD_TOKENS_PER_S)
@@ -89,7 +91,7 @@
         assert sum(during) > 0.6 * world.limit.rate_per_s * (cut_for_s - 2.0)
 
 
-def test_links_that_carry_one_way_only_give_nothing_twice():
+def test_one_way_links_grant_nothing_twice():
     world = world_with_leases(boxes=12)
     world.load(5.0, 30.0, FLOOD_TOKENS_PER_S)
     deaf = {"b1", "b2", "b3", "b4"}
@@ -99,7 +101,7 @@
     assert world.most_in_a_window() <= allowed(world)
 
 
-def test_a_power_loss_of_all_boxes_is_no_new_credit():
+def test_power_loss_of_all_boxes_adds_no_credit():
     world = world_with_leases(boxes=12)
     world.load(5.0, 30.0, FLOOD_TOKENS_PER_S)
     for when in (10.0, 13.0, 16.0):
@@ -110,7 +112,7 @@
 
 @pytest.mark.parametrize("limit", [crew_limit(), crew_limit(10_000.0, 20_000.0)])
 @pytest.mark.parametrize("starts", [(12.0, 15.0), (10.0, 11.5, 13.0, 14.5, 16.0)])
-def test_starts_of_all_boxes_in_a_row_stay_within_the_limit(limit, starts):
+def test_repeated_starts_of_all_boxes_stay_within_the_limit(limit, starts):
     world = world_with_leases(boxes=12, limit=limit)
     world.load(5.0, 30.0, 4.0 * limit.rate_per_s + limit.burst)
     for when in starts:
@@ -119,8 +121,8 @@
     assert world.most_in_a_window() <= allowed(world)
 
 
-def refused_after_a_start_of_all(seed):
-    """The share of requests at half of the limit that is not served in the first 2.5 seconds."""
+def refused_ratio_after_start_of_all(seed):
+    """Return the ratio of requests, at half of the limit, not served within 2.5 s of a start."""
     world = world_with_leases(seed=seed, boxes=24, limit=crew_limit(20_000.0, 20_000.0))
     world.load(5.0, 14.0, 10_000.0)
     world.at(10.0, lambda: [world.start(f"b{n}") for n in range(24)])
@@ -130,12 +132,12 @@
     return (world.refused + world.unanswered - before[1]) / (world.asked - before[0])
 
 
-def test_after_a_start_of_all_boxes_an_organisation_is_served_as_soon_as_shares_are_lent():
-    assert sum(refused_after_a_start_of_all(seed) for seed in range(6)) / 6 < 0.05
+def test_requests_are_served_as_soon_as_shares_are_lent_after_a_start_of_all_boxes():
+    assert sum(refused_ratio_after_start_of_all(seed) for seed in range(6)) / 6 < 0.05
 
 
-def most_after_a_start_within_a_cut(recorded):
-    """All boxes lose power while a hall is cut off, and know nobody beyond the cut."""
+def max_granted_ratio_after_start_during_cut(recorded):
+    """Restart all boxes while a hall is cut off, so that none knows a box beyond the cut."""
     size = FleetSize(recorded=recorded)
     world = world_with_leases(boxes=12, size=size, counts_by_sight=True)
     world.load(5.0, 30.0, FLOOD_TOKENS_PER_S)
@@ -151,15 +153,15 @@
     return world.most_in_a_window() / allowed(world)
 
 
-def test_boxes_started_within_a_cut_lend_no_more_than_the_limit_by_the_record():
-    assert most_after_a_start_within_a_cut(recorded=12) <= 1.0
+def test_boxes_started_during_a_cut_stay_within_the_limit_with_a_record():
+    assert max_granted_ratio_after_start_during_cut(recorded=12) <= 1.0
 
 
-def test_without_a_record_both_sides_of_the_cut_would_lend_the_whole_limit():
-    assert most_after_a_start_within_a_cut(recorded=0) > 1.2
+def test_boxes_started_during_a_cut_exceed_the_limit_without_a_record():
+    assert max_granted_ratio_after_start_during_cut(recorded=0) > 1.2
 
 
-def test_shares_come_together_some_time_after_a_start_and_after_the_silence_of_a_pool():
+def test_convergence_time_restarts_when_a_pool_falls_silent():
     share = LentShare(own_id="b1", group=0, started_at=5.0)
     others = ["b2", "b3"]
     assert share.converges_at == 5.0 + CONVERGENCE_S
@@ -170,7 +172,7 @@
     assert share.converges_at == 20.3 + CONVERGENCE_S
 
 
-def test_the_end_of_a_pool_costs_two_seconds_of_its_group():
+def test_loss_of_a_pool_interrupts_its_group_for_two_seconds():
     world = world_with_leases(boxes=12)
     world.load(5.0, 30.0, 60_000.0)
     world.run(10.0)
@@ -185,7 +187,7 @@
     assert world.by_id["b0" if pool != "b0" else "b1"].share.pool != pool
 
 
-def test_a_box_that_wakes_after_five_seconds_has_no_share_from_before():
+def test_pool_resumed_after_a_pause_has_no_share_from_before():
     world = world_with_leases(boxes=12)
     world.load(5.0, 30.0, FLOOD_TOKENS_PER_S)
 
@@ -198,7 +200,7 @@
     assert world.most_in_a_window() <= allowed(world)
 
 
-def test_a_limit_lowered_far_below_use_holds_at_once_and_a_raised_one_too():
+def test_lowered_and_raised_limits_apply_at_once():
     world = world_with_leases(boxes=12)
     world.load(5.0, 38.0, FLOOD_TOKENS_PER_S)
     world.at(15.0, lambda: setattr(world, "limit", crew_limit(20_000.0, 20_000.0)))
@@ -212,7 +214,7 @@
     assert again >= 0.9 * world.limit.rate_per_s * 9.0
 
 
-def test_an_organisation_that_nobody_asks_for_takes_no_memory():
+def test_unused_organisation_has_no_bucket():
     world = world_with_leases(boxes=6)
     world.load(5.0, 8.0, 60_000.0)
     world.run(20.0)
@@ -221,8 +223,8 @@
         assert CREW not in box.pool.buckets_by_name
 
 
-def most_given(suspended_s, *, stands_still):
-    """The most in a window when the pool's machine is suspended again and again."""
+def max_granted_ratio(suspended_s, *, stands_still):
+    """Return the maximum used in a window, relative to the allowed, if the pool is suspended."""
     world = world_with_leases(boxes=12)
     world.load(5.0, 40.0, FLOOD_TOKENS_PER_S)
 
@@ -237,8 +239,8 @@
 
 
 @pytest.mark.parametrize("suspended_s", [0.3, 1.0, 3.0, 8.0])
-def test_a_pool_whose_machine_was_suspended_gives_nothing_out_of_shares_lent_before(suspended_s):
-    assert most_given(suspended_s, stands_still=False) <= 1.0
+def test_pool_on_a_resumed_machine_grants_nothing_from_earlier_shares(suspended_s):
+    assert max_granted_ratio(suspended_s, stands_still=False) <= 1.0
 
 
 @settings(max_examples=25, deadline=None, derandomize=True)
@@ -256,7 +258,7 @@
         max_size=10,
     ),
 )
-def test_no_interleaving_gives_more_than_the_limit(seed, loss, repeats, delay, events):
+def test_no_sequence_of_faults_exceeds_the_limit(seed, loss, repeats, delay, events):
     world = world_with_leases(seed=seed, loss=loss, repeats=repeats, delay_s=(0.001, delay))
     world.load(4.0, 30.0, FLOOD_TOKENS_PER_S)
     for kind, when, n in events:
--- a/tests/systems/test_worker_rates.py
+++ b/tests/systems/test_worker_rates.py
@@ -1,7 +1,7 @@
-"""The limit that a worker names, kept by all boxes together: never above it, and nearly all of it.
+"""The limit that a worker sets, applied by all boxes together: not exceeded, and mostly used.
 
-The bounds are the users' ones: in some 4 s no more than one and a half times what the
-limit allows, and five calls. The loads ask for several times the limit.
+The users set the bounds: in any 4 s or so, no more than one and a half times what the limit allows
+plus five calls. The loads request several times the limit.
 """
 
 import random
@@ -20,7 +20,7 @@
 ENDS = 40.0
 
 GOOD_USE = 0.8
-"""Share of the limit that callers get at least where they ask for more."""
+"""Share of the limit that callers must get if they request more."""
 
 
 def allowed(per_s):
@@ -38,14 +38,14 @@
 
 
 def used_share(world, per_s):
-    """The part of a limit that was used, once shares had come together."""
+    """Return the share of a limit that was used after the shares had come together."""
     used = sum(units for when, units in world.taken if when >= USE_BEGINS)
     return used / (per_s * (ENDS - USE_BEGINS))
 
 
 @pytest.mark.parametrize("per_s", [0.5, 2.0, 10.0, 50.0])
 @pytest.mark.parametrize("boxes", [1, 8, 40])
-def test_all_boxes_together_keep_the_limit_and_use_most_of_it(per_s, boxes):
+def test_boxes_together_stay_within_the_limit_and_use_most_of_it(per_s, boxes):
     world = overloaded_world(per_s, boxes=boxes)
     world.run(ENDS)
     assert world.most_in_a_window() <= allowed(per_s)
@@ -58,7 +58,7 @@
     assert used_share(world, 2.0) >= GOOD_USE
 
 
-def test_a_limit_of_nothing_still_lets_a_call_through_that_tells_whether_it_holds():
+def test_zero_limit_still_allows_a_probing_call():
     world = overloaded_world(0.0, boxes=8)
     world.run(ENDS)
     assert 0 < sum(units for _, units in world.taken) <= MIN_RATE_PER_S * ENDS + 3.0
@@ -66,7 +66,7 @@
 
 
 @pytest.mark.parametrize("lower", [0.5, 2.0])
-def test_a_limit_that_falls_holds_within_a_window(lower):
+def test_lowered_limit_applies_within_a_window(lower):
     world = overloaded_world(12.0, boxes=8)
     world.at(15.0, lambda: setattr(world, "limit", usage_limit(lower)))
     world.run(ENDS)
@@ -75,7 +75,7 @@
     assert world.most_in_a_window() <= allowed(lower)
 
 
-def test_a_limit_that_rises_is_used_soon():
+def test_raised_limit_is_used_soon():
     world = overloaded_world(2.0, boxes=8, over=40.0)
     world.at(15.0, lambda: setattr(world, "limit", usage_limit(12.0)))
     world.run(ENDS)
@@ -83,7 +83,7 @@
     assert soon >= GOOD_USE * 12.0 * 4.0
 
 
-def test_halls_that_are_cut_off_keep_the_limit_together_and_use_it():
+def test_halls_cut_apart_stay_within_the_limit_and_use_it():
     world = overloaded_world(2.0, boxes=8)
     hall = {"b0", "b1", "b2"}
     world.at(10.0, lambda: setattr(world, "apart", lambda a, b: (a in hall) != (b in hall)))
@@ -94,7 +94,7 @@
 
 
 def max_calls_with_local_limits(per_s, boxes, share):
-    """The most calls in 4 s where each box keeps some share of the limit by itself."""
+    """Return the most calls in 4 s if each box applies a share of the limit on its own."""
     rng = random.Random(1)
     limit = usage_limit(per_s)
     capacity = WORKER_TERMS.capacity(limit) * share
@@ -110,11 +110,11 @@
 
 
 @pytest.mark.parametrize("boxes", [3, 8])
-def test_the_naive_way_in_which_each_box_keeps_the_limit_by_itself_breaks_it(boxes):
+def test_limit_applied_by_each_box_alone_is_exceeded(boxes):
     assert max_calls_with_local_limits(2.0, boxes, 1.0) > allowed(2.0)
 
 
-def test_even_shares_of_two_halls_that_count_only_themselves_break_it():
+def test_shares_of_halls_that_count_only_themselves_exceed_the_limit():
     assert 2 * max_calls_with_local_limits(10.0, 4, 1.0 / 4) > allowed(10.0)
 
 
@@ -134,9 +134,7 @@
         max_size=10,
     ),
 )
-def test_no_interleaving_gives_a_worker_more_than_its_limit(
-    seed, per_s, loss, repeats, delay, events
-):
+def test_no_sequence_of_faults_exceeds_a_workers_limit(seed, per_s, loss, repeats, delay, events):
     world = overloaded_world(
         per_s, boxes=12, seed=seed, loss=loss, repeats=repeats, delay_s=(0.001, delay)
     )
