--- a/src/croftchute/systems/crash_guard.py
+++ b/src/croftchute/systems/crash_guard.py
@@ -13,8 +13,8 @@
 
 CRASH_DEDUP_S = 10.0
 """Length in seconds of the Unix time slots in which crashes of one engine count as one. Boxes see
-the same crash within milliseconds, and an engine takes longer than a slot to load its model. About
-one crash in a thousand falls on a slot boundary and may count twice."""
+the same crash within milliseconds, and an engine takes longer to restart, since it loads its model.
+About one crash in a thousand falls on a slot boundary and may count twice."""
 
 MAX_NOTICES = 64
 """Most crash notices in one message, about 2 KB."""
@@ -41,14 +41,14 @@
         if end.ok:
             self.records.note_success(request.digest, now)
         elif end.engine_has_ended and end.sent:
-            life = f"{end.failed_engine}@{int(now // CRASH_DEDUP_S)}"
-            notice = CrashNotice(digest=request.digest, life=life, age_s=0.0)
+            instance = f"{end.failed_engine}@{int(now // CRASH_DEDUP_S)}"
+            notice = CrashNotice(digest=request.digest, life=instance, age_s=0.0)
             self.records.merge([notice], now)
             self._unsent_digests.append(request.digest)
 
-    def apply_notices(self, news: CrashNews, now: float) -> None:
+    def apply_notices(self, message: CrashNews, now: float) -> None:
         """Apply another box's notices; forward those that cause a refusal here."""
-        self._unsent_digests += self.records.merge(news.notices, now)
+        self._unsent_digests += self.records.merge(message.notices, now)
 
     def take_outgoing(self, now: float) -> list[CrashNews]:
         """Return the messages to send to other boxes at once."""
--- a/src/croftchute/systems/crash_records.py
+++ b/src/croftchute/systems/crash_records.py
@@ -25,8 +25,8 @@
 BASE_REFUSAL_S = 600.0
 """Seconds for which a request is refused after the third crash; each further crash doubles it.
 People fix the cause in minutes to hours. After the refusal the request may run once more, and one
-more crash refuses it again: a request that is repeated for ever costs two workers in the first hour
-after the third crash, and one per hour after that."""
+more crash refuses it again: a request that is repeated for ever costs two more workers in the first
+hour after the third crash, and one per hour after that."""
 
 MAX_REFUSAL_S = 3600.0
 """Longest refusal after a crash, in seconds."""
@@ -61,7 +61,9 @@
     @property
     def lives(self) -> set[str]:
         """The instances that count against the request before explanations are considered."""
-        ended = {life for life, at in self.ended_at_by_life.items() if at > self.succeeded_at}
+        ended = {
+            instance for instance, at in self.ended_at_by_life.items() if at > self.succeeded_at
+        }
         return ended | self.suspected
 
     @property
@@ -69,18 +71,18 @@
         """The time of the latest crash, or of the latest success if there is no crash."""
         return max(self.ended_at_by_life.values(), default=self.succeeded_at)
 
-    def note_crash(self, life: str, at: float) -> bool:
+    def note_crash(self, instance: str, at: float) -> bool:
         """Record a crash; return True if it is new. Of several reports the earliest time counts."""
-        self.suspected.discard(life)
-        known_at = self.ended_at_by_life.get(life)
+        self.suspected.discard(instance)
+        known_at = self.ended_at_by_life.get(instance)
         if known_at is not None:
-            self.ended_at_by_life[life] = min(known_at, at)
+            self.ended_at_by_life[instance] = min(known_at, at)
             return False
-        self.ended_at_by_life[life] = at
+        self.ended_at_by_life[instance] = at
         if len(self.ended_at_by_life) > MAX_CRASHES_PER_RECORD:
             oldest = min(self.ended_at_by_life, key=lambda key: self.ended_at_by_life[key])
             del self.ended_at_by_life[oldest]
-            return oldest != life
+            return oldest != instance
         return True
 
 
@@ -102,8 +104,8 @@
     by_digest: dict[str, CrashRecord] = field(default_factory=dict)
     _refused_until_by_digest: dict[str, float] = field(default_factory=dict)
     _candidates: set[str] = field(default_factory=set)
-    _told: int = 0
-    _round: int = 0
+    _next_record: int = 0
+    _call_count: int = 0
 
     def refusal_left_s(self, digest: str, now: float) -> float:
         """Return for how many more seconds a request is refused; 0 if it is not."""
@@ -121,30 +123,30 @@
 
     # Observations of this box.
 
-    def note_suspected_crash(self, digest: str, life: str, now: float) -> None:
+    def note_suspected_crash(self, digest: str, instance: str, now: float) -> None:
         """Record a worker that broke off a request's answer and may have crashed.
 
-        It counts as a crash until :meth:`resolve_suspicion` tells, which takes a moment.
+        It counts as a crash until :meth:`resolve_suspicion` is called, a moment later.
         """
         record = self._record(digest, now)
-        if record is not None and life not in record.ended_at_by_life:
-            record.suspected.add(life)
+        if record is not None and instance not in record.ended_at_by_life:
+            record.suspected.add(instance)
             self._update_refusals_if_needed([digest])
 
-    def resolve_suspicion(self, life: str, *, ended_at: float | None) -> list[str]:
+    def resolve_suspicion(self, instance: str, *, ended_at: float | None) -> list[str]:
         """Record whether a suspected worker crashed; return the requests for which it is new."""
-        suspected = [key for key, record in self.by_digest.items() if life in record.suspected]
+        suspected = [key for key, record in self.by_digest.items() if instance in record.suspected]
         if ended_at is None:
-            self._clear_suspicion(life, suspected)
+            self._clear_suspicion(instance, suspected)
             return []
-        news = [key for key in suspected if self.by_digest[key].note_crash(life, ended_at)]
-        self._update_refusals_if_needed(news)
-        return news
+        changed = [key for key in suspected if self.by_digest[key].note_crash(instance, ended_at)]
+        self._update_refusals_if_needed(changed)
+        return changed
 
-    def _clear_suspicion(self, life: str, digests: list[str]) -> None:
+    def _clear_suspicion(self, instance: str, digests: list[str]) -> None:
         for digest in digests:
             record = self.by_digest[digest]
-            record.suspected.discard(life)
+            record.suspected.discard(instance)
             if not record.lives and record.succeeded_at == -math.inf:
                 del self.by_digest[digest]
         self._update_refusals_if_needed(digests)
@@ -176,8 +178,8 @@
         if record is None:
             return []
         found = [
-            CrashNotice(digest=digest, life=life, age_s=max(0.0, now - at))
-            for life, at in record.ended_at_by_life.items()
+            CrashNotice(digest=digest, life=instance, age_s=max(0.0, now - at))
+            for instance, at in record.ended_at_by_life.items()
         ]
         if record.succeeded_at > -math.inf:
             age_s = max(0.0, now - record.succeeded_at)
@@ -191,16 +193,16 @@
         """
         if not self.by_digest:
             return []
-        self._round += 1
+        self._call_count += 1
         digests = list(self.by_digest)
         refused = list(self._refused_until_by_digest)
-        found = self.notices(refused[self._round % len(refused)], now) if refused else []
+        found = self.notices(refused[self._call_count % len(refused)], now) if refused else []
         for _ in digests:
-            told = self.notices(digests[self._told % len(digests)], now)
-            if found and len(found) + len(told) > most:
+            record_notices = self.notices(digests[self._next_record % len(digests)], now)
+            if found and len(found) + len(record_notices) > most:
                 break
-            found += told
-            self._told += 1
+            found += record_notices
+            self._next_record += 1
         return found
 
     def sweep(self, now: float) -> None:
--- a/src/croftchute/systems/hall_relays.py
+++ b/src/croftchute/systems/hall_relays.py
@@ -60,7 +60,7 @@
         """
         if len(hall_peers) + 1 < MIN_HALL_SIZE or now < self._asked_until:
             return None
-        peers_by_id = {mate.id: mate for mate in hall_peers}
+        peers_by_id = {peer.id: peer for peer in hall_peers}
         order = self._order(hall_peers)
         if self.own_id in order[:RELAY_COUNT]:
             return None
@@ -90,7 +90,7 @@
 
     def _order(self, hall_peers: Sequence[Peer]) -> list[str]:
         """Return all boxes of the hall by rank, those with wide links first."""
-        mbps_by_id = {mate.id: mate.link_mbps for mate in hall_peers} | {self.own_id: self.own_mbps}
+        mbps_by_id = {peer.id: peer.link_mbps for peer in hall_peers} | {self.own_id: self.own_mbps}
         bar_mbps = WIDE_LINK_RATIO * max(mbps_by_id.values())
         wide = [box for box, mbps in mbps_by_id.items() if mbps >= bar_mbps]
         narrow = [box for box, mbps in mbps_by_id.items() if mbps < bar_mbps]
--- a/src/croftchute/systems/lent_share.py
+++ b/src/croftchute/systems/lent_share.py
@@ -27,7 +27,7 @@
 """The same in the first seconds after a start: after a power loss of all boxes the pool may be a
 box that starts more slowly than this one."""
 
-MIN_TIMEOUTS = 3
+MIN_UNANSWERED = 3
 """Unanswered requests in a row after which a pool is suspected; two may be lost on the network."""
 
 MIN_SILENCE_S = 0.15
@@ -88,7 +88,7 @@
     _lent_until: float = -math.inf
     _echo: float = 0.0
     _echo_heard_at: float = -math.inf
-    _timeouts: int = 0
+    _unanswered: int = 0
     _silence_noted_at: float = -math.inf
     _silent_since: float | None = None
     _suspected_until: dict[str, float] = field(default_factory=dict)
@@ -108,7 +108,7 @@
         self._choose(wanted, now)
         if wanted != self.pool:
             return Lease(pool=self._present_or(wanted, now), share=0.0, echo=0.0)
-        self._timeouts += 1
+        self._unanswered += 1
         if self._silent_since is None:
             self._silent_since = now
         # An echo older than a lease lends nothing, for instance after a time without limits.
@@ -143,7 +143,7 @@
         silent_since = self._silent_since
         if pool != self.pool or silent_since is None:
             return False
-        if self._timeouts < MIN_TIMEOUTS or now - silent_since < MIN_SILENCE_S:
+        if self._unanswered < MIN_UNANSWERED or now - silent_since < MIN_SILENCE_S:
             return False
         self._silence_noted_at = now
         is_young = now - self.started_at < STARTUP_S
@@ -151,7 +151,7 @@
         return True
 
     def _reset_silence(self) -> None:
-        self._timeouts = 0
+        self._unanswered = 0
         self._silent_since = None
 
     def _present_or(self, wanted: str, now: float) -> str:
--- a/src/croftchute/systems/peer_table.py
+++ b/src/croftchute/systems/peer_table.py
@@ -182,8 +182,8 @@
 
     def boxes(self, now: float) -> int:
         """Return the number of boxes, counting this one and those heard in the last seconds."""
-        heard = sum(now - peer.heard_at <= COUNTED_S for peer in self.peers_by_id.values())
-        return 1 + heard
+        recent = sum(now - peer.heard_at <= COUNTED_S for peer in self.peers_by_id.values())
+        return 1 + recent
 
     def fresh_boxes(self, now: float) -> int:
         """Return how many other boxes have a fresh notice: those that :meth:`demand` sums over."""
--- a/src/croftchute/systems/prefetched_usage.py
+++ b/src/croftchute/systems/prefetched_usage.py
@@ -77,8 +77,8 @@
             used = min(lot.units, units)
             taken.append(UnitLot(units=used, expires_at=lot.expires_at))
             if lot.units > used:
-                rest = UnitLot(units=lot.units - used, expires_at=lot.expires_at)
-                self.lots.appendleft(rest)
+                remainder = UnitLot(units=lot.units - used, expires_at=lot.expires_at)
+                self.lots.appendleft(remainder)
             units -= used
         return tuple(taken)
 
--- a/src/croftchute/systems/worker_limits.py
+++ b/src/croftchute/systems/worker_limits.py
@@ -112,9 +112,9 @@
 
     def notices(self, now: float, rng: random.Random, *, most: int) -> tuple[LimitNotice, ...]:
         """Return at most ``most`` limits for other boxes, ended ones included, chosen at random."""
-        told = list(self.by_id.items())
-        if len(told) > most:
-            told = rng.sample(told, most)
+        selected = list(self.by_id.items())
+        if len(selected) > most:
+            selected = rng.sample(selected, most)
         return tuple(
             LimitNotice(
                 worker=worker_id,
@@ -122,7 +122,7 @@
                 named_s=now - known.reported_at,
                 left_out_s=NOT_OMITTED if known.omitted_at > now else now - known.omitted_at,
             )
-            for worker_id, known in told
+            for worker_id, known in selected
         )
 
     def apply_notice(self, notice: LimitNotice, now: float) -> bool:
@@ -149,10 +149,12 @@
             if is_gone or is_long_over:
                 del self.by_id[worker_id]
         ended = [w for w, known in self.by_id.items() if known.is_over(now)]
-        news = [worker_id for worker_id in ended if not self.by_id[worker_id].is_end_reported]
-        for worker_id in news:
+        newly_ended = [
+            worker_id for worker_id in ended if not self.by_id[worker_id].is_end_reported
+        ]
+        for worker_id in newly_ended:
             self.by_id[worker_id].is_end_reported = True
-        return news
+        return newly_ended
 
     def _evict_oldest(self) -> None:
         """Drop the oldest limit if too many are kept."""
--- a/src/croftchute/systems/worker_table.py
+++ b/src/croftchute/systems/worker_table.py
@@ -49,8 +49,9 @@
 are ignored as invalid."""
 
 UNREACHABLE_S = 1.5
-"""Seconds for which a worker that refused a connection is avoided where possible. Each attempt
-costs a caller one connection timeout, and network cuts and crashes last for some seconds."""
+"""Seconds for which a worker is avoided, where possible, after a connection to it failed. Each
+attempt costs a caller the time of one connection, and network cuts and crashes last for some
+seconds."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
@@ -147,19 +148,19 @@
     ) -> list[str]:
         """Mark workers as removed from the list; they are forgotten after a grace period.
 
-        If at least half of a service's entries disappear at once, or with ``is_mass_expiry``, the
-        entries are taken as expired and not as removed on purpose. Returns the ids of the removed
-        instances.
+        If two or more entries, and at least half of a service's, disappear at once, or with
+        ``is_mass_expiry``, they are taken as expired and not as removed on purpose. Returns the ids
+        of the removed instances.
         """
         known = (self._current_by_name.get(name) for name in names)
         gone = [tracked for tracked in known if tracked is not None and tracked.gone_at is None]
         gone_by_service = Counter(tracked.worker.service for tracked in gone)
-        lapsed = {
+        expired_services = {
             service for service, n in gone_by_service.items() if self._is_mass_expiry(service, n)
         }
         for tracked in gone:
             tracked.gone_at = now
-            tracked.is_mass_expired = is_mass_expiry or tracked.worker.service in lapsed
+            tracked.is_mass_expired = is_mass_expiry or tracked.worker.service in expired_services
         return [tracked.worker.id for tracked in gone]
 
     def keep_only(self, names: set[str], now: float, *, is_mass_expiry: bool = False) -> list[str]:
--- a/tests/systems/crash_world.py
+++ b/tests/systems/crash_world.py
@@ -153,8 +153,8 @@
         self.at(RESTART_DELAY_S, self._start, worker)
 
     def _settle(self, box, life, digest):
-        for news in box.records.resolve_suspicion(life, ended_at=self.now):
-            self.send_notices(box, box.records.notices(news, self.now))
+        for digest_to_send in box.records.resolve_suspicion(life, ended_at=self.now):
+            self.send_notices(box, box.records.notices(digest_to_send, self.now))
 
     def _start(self, worker):
         self.lives[worker] = f"w{worker}-{next(self._numbers)}"
--- a/tests/systems/test_crash_guard.py
+++ b/tests/systems/test_crash_guard.py
@@ -84,10 +84,10 @@
     asked = request("r", digest=DIGEST)
     for number in range(3):
         here.note(asked, end(failed_engine=f"e{number}", engine_has_ended=True), 100.0)
-    for news in here.take_outgoing(100.0):
-        there.apply_notices(news, 100.0)
-    for news in there.take_outgoing(100.1):
-        beyond.apply_notices(news, 100.1)
+    for message in here.take_outgoing(100.0):
+        there.apply_notices(message, 100.0)
+    for message in there.take_outgoing(100.1):
+        beyond.apply_notices(message, 100.1)
     assert there.refusal_left_s(asked, 100.1) > 0.0 and beyond.refusal_left_s(asked, 100.1) > 0.0
     assert beyond.take_outgoing(100.2) and not beyond.take_outgoing(100.3)
 
@@ -98,8 +98,8 @@
     for number in range(3):
         here.note(asked, end(failed_engine=f"e{number}", engine_has_ended=True), 100.0)
     here.take_outgoing(100.0)
-    for news in here.heartbeat_messages(105.0):
-        late.apply_notices(news, 105.0)
+    for message in here.heartbeat_messages(105.0):
+        late.apply_notices(message, 105.0)
     assert late.refusal_left_s(asked, 105.0) > 0.0
 
 
@@ -107,8 +107,10 @@
     systems = make(peers=("b1", "b2"))
     crash_engines(systems.entry, "e1", "e2", "e3")
     commands = systems._crash_news(100.0)
-    told = [c for c in commands if isinstance(c, SendPeer) and isinstance(c.body, CrashNews)]
-    assert told and all(len(command.body.notices) <= 64 for command in told)
+    sent_messages = [
+        c for c in commands if isinstance(c, SendPeer) and isinstance(c.body, CrashNews)
+    ]
+    assert sent_messages and all(len(command.body.notices) <= 64 for command in sent_messages)
     other = make("b1" if systems.own.id != "b1" else "b2", peers=(systems.own.id,))
-    other.receive(systems.own.id, told[0].body, 100.1)
+    other.receive(systems.own.id, sent_messages[0].body, 100.1)
     assert other.entry.crashes.refusal_left_s(request("r", digest=DIGEST), 100.1) > 0.0
--- a/tests/systems/test_crash_records.py
+++ b/tests/systems/test_crash_records.py
@@ -121,9 +121,9 @@
     for _ in range(50):
         for teller in boxes:
             now += 0.05
-            told = teller.notices("poll", now - 0.05)
+            sent_digests = teller.notices("poll", now - 0.05)
             for hearer in boxes:
-                hearer.merge(told, now)
+                hearer.merge(sent_digests, now)
     assert max(records.by_digest["poll"].succeeded_at for records in boxes) <= 7.0
 
 
@@ -176,8 +176,8 @@
     records = CrashRecords()
     for number in range(20):
         record_crashes(records, f"r{number}", "w1", "w2")
-    told = {notice.digest for _ in range(10) for notice in records.next_notices(1.0, 6)}
-    assert len(told) == 20
+    sent_digests = {notice.digest for _ in range(10) for notice in records.next_notices(1.0, 6)}
+    assert len(sent_digests) == 20
     assert all(len(records.next_notices(1.0, 6)) <= 6 for _ in range(20))
 
 
--- a/tests/systems/test_hall_relays.py
+++ b/tests/systems/test_hall_relays.py
@@ -35,8 +35,8 @@
     found = {}
     for box_id in ids:
         relays = HallRelays(own_id=box_id, hall="north")
-        mate = relays.relay_to_ask(hall_peers_of(box_id, ids), now)
-        found[box_id] = mate.id if mate is not None else None
+        relay = relays.relay_to_ask(hall_peers_of(box_id, ids), now)
+        found[box_id] = relay.id if relay is not None else None
     return found
 
 
@@ -113,8 +113,8 @@
     for box_id, own_mbps in mbps_by_id.items():
         relays = HallRelays(own_id=box_id, hall="north", own_mbps=own_mbps)
         hall_peers = [peer(other, mbps) for other, mbps in mbps_by_id.items() if other != box_id]
-        mate = relays.relay_to_ask(hall_peers, 0.0)
-        found[box_id] = mate.id if mate is not None else None
+        relay = relays.relay_to_ask(hall_peers, 0.0)
+        found[box_id] = relay.id if relay is not None else None
     return found
 
 
--- a/tests/systems/test_peer_table.py
+++ b/tests/systems/test_peer_table.py
@@ -41,10 +41,10 @@
     assert table.apply_notice("b", NOTICE, 0.0)
     assert table.in_flight("w", 1.0) == 2
     assert table.failures("w", 1.0) == 1.5
-    told = DemandCounts(
+    reported = DemandCounts(
         asks=10, prompt_tokens=500, output_tokens=90, ended=4, ended_tokens=30, ended_s=1.5
     )
-    assert table.demand("s", 1.0) == told
+    assert table.demand("s", 1.0) == reported
     assert table.in_flight("w", 10.0) == 0
     assert table.demand("s", 10.0) == DemandCounts()
 
@@ -117,8 +117,10 @@
 
 def test_longest_wait_reported_by_peers_decays():
     table = PeerTable(own_id="me")
-    told = replace(NOTICE, workers=(WorkerNotice(worker="p", in_flight=1, failures=0, wait_s=0.8),))
-    table.apply_notice("b", told, 0.0)
+    reported = replace(
+        NOTICE, workers=(WorkerNotice(worker="p", in_flight=1, failures=0, wait_s=0.8),)
+    )
+    table.apply_notice("b", reported, 0.0)
     table.apply_notice("c", NOTICE, 0.0)
     assert table.prefill_wait_s("p", 0.0) == 0.8
     assert table.prefill_wait_s("p", 0.5) == 0.4
@@ -226,7 +228,7 @@
     now = 0.0
     for _ in range(600):
         now += rng.choice((0.01, 0.05, 2.0, FORGET_S / 2))
-        told = tuple(
+        reported = tuple(
             WorkerNotice(
                 worker=f"w{n}", in_flight=rng.randrange(5), failures=1.0, wait_s=rng.random()
             )
@@ -234,14 +236,14 @@
         )
         peer = f"b{rng.randrange(9)}"
         table.apply_notice(
-            peer, replace(NOTICE, started_at=100.0 + rng.randrange(3), workers=told), now
+            peer, replace(NOTICE, started_at=100.0 + rng.randrange(3), workers=reported), now
         )
         if rng.random() < 0.1:
             table.forget(now)
         for n in range(6):
-            naive = entries_by_full_scan(table, f"w{n}", now)
-            assert table.in_flight(f"w{n}", now) == sum(entry.in_flight for entry in naive)
-            assert table.failures(f"w{n}", now) == sum(entry.failures for entry in naive)
+            expected = entries_by_full_scan(table, f"w{n}", now)
+            assert table.in_flight(f"w{n}", now) == sum(entry.in_flight for entry in expected)
+            assert table.failures(f"w{n}", now) == sum(entry.failures for entry in expected)
 
 
 def test_an_address_is_known_while_a_peer_is_there():
