--- a/tests/systems/crash_world.py
+++ b/tests/systems/crash_simulation.py
@@ -18,7 +18,7 @@
 from croftchute.systems.peer_table import FANOUT
 
 DELAY_S = 0.003
-LOSS = 0.02
+LOSS_RATE = 0.02
 NOTICE_INTERVAL_S = 0.5
 TIME_TO_CRASH_S = 0.1
 """Seconds from a request's arrival at a worker to the worker's crash."""
@@ -30,7 +30,7 @@
 
 
 @dataclass
-class Box:
+class SimulatedBox:
     name: int
     hall: int
     records: CrashRecords = field(default_factory=CrashRecords)
@@ -47,10 +47,10 @@
     tries: int = 1
 
 
-class World:
+class CrashSimulation:
     def __init__(self, *, boxes, workers, halls=3, seed=1, healthy_per_s=0.0):
         self.rng = random.Random(seed)
-        self.boxes = [Box(name=n, hall=n % halls) for n in range(boxes)]
+        self.boxes = [SimulatedBox(name=n, hall=n % halls) for n in range(boxes)]
         self.lives = {n: f"w{n}-0" for n in range(workers)}
         self.alive = list(self.lives)
         self.running = {n: {} for n in range(workers)}
@@ -62,7 +62,7 @@
         self.refused = {}
         self.healthy_sent = 0
         self.healthy_refused = 0
-        self.bytes_told = 0
+        self.bytes_sent = 0
         self._queue = []
         self._numbers = itertools.count()
         for box in self.boxes:
@@ -70,13 +70,13 @@
         if healthy_per_s:
             self.at(0.0, self._send_healthy)
 
-    def at(self, after_s, what, *facts):
-        heapq.heappush(self._queue, (self.now + after_s, next(self._numbers), what, facts))
+    def at(self, after_s, action, *args):
+        heapq.heappush(self._queue, (self.now + after_s, next(self._numbers), action, args))
 
     def run(self, until):
         while self._queue and self._queue[0][0] <= until:
-            self.now, _, what, facts = heapq.heappop(self._queue)
-            what(*facts)
+            self.now, _, action, args = heapq.heappop(self._queue)
+            action(*args)
         self.now = until
 
     # Boxes.
@@ -87,12 +87,12 @@
     def send_notices(self, box, notices):
         if not notices:
             return
-        told = tuple(notices)
+        sent = tuple(notices)
         for other in self.rng.sample(self.boxes, min(FANOUT, len(self.boxes))):
-            if other is box or self.rng.random() < LOSS or not self.can_reach(box, other):
+            if other is box or self.rng.random() < LOSS_RATE or not self.can_reach(box, other):
                 continue
-            self.bytes_told += 40 * len(notices)
-            self.at(DELAY_S, self._receive, other, told)
+            self.bytes_sent += 40 * len(notices)
+            self.at(DELAY_S, self._receive, other, sent)
 
     def _receive(self, box, notices):
         for digest in box.records.merge(notices, self.now):
