--- a/tests/systems/crash_world.py
+++ b/tests/systems/crash_simulation.py
@@ -1,9 +1,9 @@
-"""Boxes, workers and requests that end them, in virtual time: what the records come to at size.
+"""A virtual-time simulation of boxes, workers and requests that crash workers.
 
-Boxes tell one another as they do over the network: news goes at once to ten drawn at random, and on
-from each box that refuses a request by it; six ends go with each notice, twice a second. Datagrams
-are lost now and then, and not heard across a cut. Workers that end are back after some seconds as
-another life.
+Boxes exchange notices as over the network. A new crash is sent at once to ten boxes drawn at random
+and forwarded by each box that refuses a request because of it; six crashes go with each periodic
+notice, twice per second. Datagrams are lost now and then and don't cross a cut. Workers that crash
+return after some seconds as another instance.
 """
 
 from __future__ import annotations
@@ -18,10 +18,10 @@
 from croftchute.systems.peer_table import FANOUT
 
 DELAY_S = 0.003
-LOSS = 0.02
+LOSS_RATE = 0.02
 NOTICE_INTERVAL_S = 0.5
 TIME_TO_CRASH_S = 0.1
-"""Seconds from a request's arrival at a worker to the worker's end."""
+"""Seconds from a request's arrival at a worker to the worker's crash."""
 
 RESTART_DELAY_S = 4.0
 ATTEMPTS = 2
@@ -30,7 +30,7 @@
 
 
 @dataclass
-class Box:
+class SimulatedBox:
     name: int
     hall: int
     records: CrashRecords = field(default_factory=CrashRecords)
@@ -39,7 +39,7 @@
 
 @dataclass
 class HealthyRequest:
-    """A request of another caller; it is sent on once, and its caller comes back once."""
+    """A request that crashes nothing; its box retries it once, and its caller repeats it once."""
 
     digest: str
     box: int
@@ -47,10 +47,10 @@
     tries: int = 1
 
 
-class World:
+class CrashSimulation:
     def __init__(self, *, boxes, workers, halls=3, seed=1, healthy_per_s=0.0):
         self.rng = random.Random(seed)
-        self.boxes = [Box(name=n, hall=n % halls) for n in range(boxes)]
+        self.boxes = [SimulatedBox(name=n, hall=n % halls) for n in range(boxes)]
         self.lives = {n: f"w{n}-0" for n in range(workers)}
         self.alive = list(self.lives)
         self.running = {n: {} for n in range(workers)}
@@ -62,7 +62,7 @@
         self.refused = {}
         self.healthy_sent = 0
         self.healthy_refused = 0
-        self.bytes_told = 0
+        self.bytes_sent = 0
         self._queue = []
         self._numbers = itertools.count()
         for box in self.boxes:
@@ -70,13 +70,13 @@
         if healthy_per_s:
             self.at(0.0, self._send_healthy)
 
-    def at(self, after_s, what, *facts):
-        heapq.heappush(self._queue, (self.now + after_s, next(self._numbers), what, facts))
+    def at(self, after_s, action, *args):
+        heapq.heappush(self._queue, (self.now + after_s, next(self._numbers), action, args))
 
     def run(self, until):
         while self._queue and self._queue[0][0] <= until:
-            self.now, _, what, facts = heapq.heappop(self._queue)
-            what(*facts)
+            self.now, _, action, args = heapq.heappop(self._queue)
+            action(*args)
         self.now = until
 
     # Boxes.
@@ -87,12 +87,12 @@
     def send_notices(self, box, notices):
         if not notices:
             return
-        told = tuple(notices)
+        sent = tuple(notices)
         for other in self.rng.sample(self.boxes, min(FANOUT, len(self.boxes))):
-            if other is box or self.rng.random() < LOSS or not self.can_reach(box, other):
+            if other is box or self.rng.random() < LOSS_RATE or not self.can_reach(box, other):
                 continue
-            self.bytes_told += 40 * len(notices)
-            self.at(DELAY_S, self._receive, other, told)
+            self.bytes_sent += 40 * len(notices)
+            self.at(DELAY_S, self._receive, other, sent)
 
     def _receive(self, box, notices):
         for digest in box.records.merge(notices, self.now):
@@ -103,7 +103,7 @@
         self.at(NOTICE_INTERVAL_S * self.rng.uniform(0.8, 1.2), self._notice, box)
 
     def restart(self, box):
-        """A box begins anew; it reads what the store keeps of refused requests."""
+        """Restart a box, which reads the refused requests from the store."""
         kept = [
             notice
             for other in self.boxes
@@ -115,7 +115,7 @@
         box.joined_at = self.now
         box.records.merge(kept, self.now)
 
-    # Requests that end workers.
+    # Requests that crash workers.
 
     def send_bad(self, digest, box=None):
         box = box or self.rng.choice(self.boxes)
@@ -141,7 +141,7 @@
             self.at(DELAY_S, self._attempt_bad, digest, box, left)
 
     def crash(self, worker):
-        """A worker ends, and with it all that runs there; each box finds the port dead."""
+        """Crash a worker and break off all its requests; each box then finds its port closed."""
         self.alive.remove(worker)
         life, runs = self.lives[worker], self.running[worker]
         self.running[worker] = {}
@@ -153,8 +153,8 @@
         self.at(RESTART_DELAY_S, self._start, worker)
 
     def _settle(self, box, life, digest):
-        for news in box.records.resolve_suspicion(life, ended_at=self.now):
-            self.send_notices(box, box.records.notices(news, self.now))
+        for digest_to_send in box.records.resolve_suspicion(life, ended_at=self.now):
+            self.send_notices(box, box.records.notices(digest_to_send, self.now))
 
     def _start(self, worker):
         self.lives[worker] = f"w{worker}-{next(self._numbers)}"
@@ -194,10 +194,13 @@
             healthy.box = self.rng.randrange(len(self.boxes))
             self.at(0.3, self._start_attempt, healthy)
 
-    # What came of it.
+    # Results.
 
     def late_arrivals(self, digest):
-        """Arrivals at workers, from boxes in touch, later than it takes news to be known."""
+        """Count arrivals at workers that come later than the refusal should be known.
+
+        Only arrivals from boxes that have been connected for a while count.
+        """
         ended = sorted(self.ended_at.get(digest, []))
         if len(ended) < 3:
             return 0
