--- a/tests/platform_adapter/test_streams.py
+++ b/tests/platform_adapter/test_streams.py
@@ -40,7 +40,7 @@
             box, decode, prefill = await engines(made, decodes=1)
             state = box.state
             queue = state.workers.tracked_by_id["p0"].queue
-            queue.sent("another", 10, state.clock() - 5.0)
+            queue.note_sent("another", 10, state.clock() - 5.0)
             answer = await ask(box, "/stream/x")
             assert answer.is_whole
             assert "x-croftchute-kv-source" not in decode[0].received[-1].headers
--- a/tests/systems/test_peer_table.py
+++ b/tests/systems/test_peer_table.py
@@ -111,8 +111,8 @@
     assert table.boxes(6.0) == 4
     all_heard, two_heard = table.demand("s", 0.5), table.demand("s", 6.0)
     assert (all_heard.asks, two_heard.asks) == (30, 20)
-    assert all_heard.mix == two_heard.mix
-    assert all_heard.mix is not None and all_heard.mix.prompt_tokens == 50.0
+    assert all_heard.averages == two_heard.averages
+    assert all_heard.averages is not None and all_heard.averages.prompt_tokens == 50.0
 
 
 def test_longest_wait_reported_by_peers_decays():
