--- a/src/croftchute/systems/fair_shares.py
+++ b/src/croftchute/systems/fair_shares.py
@@ -26,11 +26,12 @@
 of a datagram."""
 
 SCARCE_RATIO = 0.9
-"""Ratio of granted to asked tokens below which room counts as short. It is below 1 because some
+"""Ratio of granted to asked tokens below which room counts as scarce. It is below 1 because some
 requests have asked and will get room in a moment."""
 
 MAX_REPORTED_TOKENS = 1e9
-"""Largest use in tokens that a box accepts from a peer: the memory of a thousand engines."""
+"""Largest use in tokens that a box accepts from a peer: the memory of a thousand engines of a
+million tokens each."""
 
 SHARE_TOLERANCE = 0.1
 """Relative excess over its share that an organisation may have: about one request."""
@@ -62,10 +63,10 @@
         self._decayed(name, now).asked += tokens
 
     def note_granted(self, name: str, tokens: int, now: float, *, waited_s: float = 0.0) -> None:
-        """Count a grant, decayed as much as the request that was counted ``waited_s`` earlier.
+        """Count a grant to a request that has waited for ``waited_s``.
 
-        Otherwise an organisation whose requests all waited and got room would have more granted
-        than asked.
+        The tokens are decayed like those of the request, counted before the wait. Otherwise an
+        organisation whose requests all waited and got room would have more granted than asked.
         """
         self._decayed(name, now).granted += tokens * 0.5 ** (max(0.0, waited_s) / HALF_LIFE_S)
 
@@ -104,7 +105,7 @@
 def share_verdict(
     name: str, uses: Iterable[OrganisationUseNotice], weights_by_name: Mapping[str, float]
 ) -> ShareVerdict:
-    """Return the verdict on one organisation from the use seen by this box and its peers.
+    """Return how one organisation compares with its share, by the use of this box and its peers.
 
     ``weights_by_name`` holds the limits of organisations. An organisation without a limit has the
     mean weight of the others.
@@ -125,9 +126,9 @@
 def share_verdicts(
     uses: Iterable[OrganisationUseNotice], weights_by_name: Mapping[str, float]
 ) -> dict[str, ShareVerdict]:
-    """Return the verdicts on all organisations; those left out are within their shares.
+    """Return how all organisations compare with their shares.
 
-    The result is empty while room is not short.
+    The result is empty while room is not scarce.
 
     >>> share_verdicts([], {})
     {}
--- a/src/croftchute/systems/first_tries.py
+++ b/src/croftchute/systems/first_tries.py
@@ -1,8 +1,8 @@
 """Time since a caller's first try, derived from the time that it has left.
 
-Callers send how much time they have left, not when they started. First tries have the most. The
-router learns that maximum per route from the requests, since callers need not use the whole timeout
-of the route.
+Callers send how much time they have left, not when they started. The time left is largest on a
+first try. The router learns that maximum per route from the requests, since callers need not use
+the whole timeout of the route.
 """
 
 from __future__ import annotations
--- a/src/croftchute/systems/held_bytes.py
+++ b/src/croftchute/systems/held_bytes.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass
 
 BYTES_PER_MB = 1_000_000
-"""Bytes in a megabyte of the settings: the smaller of the two usual definitions."""
+"""Bytes in a megabyte of the settings: the decimal one, which is smaller than 2**20."""
 
 HELD_MEMORY_SHARE = 0.25
 """Share of a box's memory for held bytes: on the smallest boxes the program itself needs most of
@@ -63,14 +63,16 @@
 
 @dataclass(kw_only=True, slots=True)
 class _StreamUsage:
-    """Bytes held for one answer, and since when it has held any."""
+    """Bytes held for one answer, and the time since which it has had any without a break."""
 
     size: int
     since: float
 
 
 class HeldBytes:
-    """Count of the bytes held per answer, by the answer's number, and in total.
+    """Count of the bytes held per answer and in total.
+
+    ``stream`` is the number of an answer in all methods.
 
     Without bounds no answer is ended.
     """
--- a/src/croftchute/systems/plain_queue.py
+++ b/src/croftchute/systems/plain_queue.py
@@ -1,9 +1,9 @@
-"""Admission and placement of plain calls at a small service whose workers queue.
+"""Admission and placement of plain calls, which are not streamed, at a small service.
 
-A few workers with a few slots each serve many boxes. No box sees the calls of the others, and the
-load reported with an answer is outdated within one working time. While a worker has a queue, a box
-asks the workers for their load before each call, sends the call where it will end soonest, and
-refuses at once a call that would be late everywhere.
+A few workers with a few slots each serve many boxes, and queue calls beyond their slots. No box
+sees the calls of the others, and the load reported with an answer is outdated within one working
+time. While a worker has a queue, a box asks the workers for their load before each call, sends the
+call where it will end soonest, and refuses at once a call that would be late everywhere.
 """
 
 from __future__ import annotations
--- a/src/croftchute/systems/request_rank.py
+++ b/src/croftchute/systems/request_rank.py
@@ -9,10 +9,10 @@
 from croftchute.tables.routing import RouteKind, RoutingTable
 
 DEFAULT_PRIORITY = 5
-"""Priority of an organisation without one: the middle of the engines' scale."""
+"""Priority of an organisation without one: the middle of the engines' scale of ten."""
 
 MAX_RANKS = 10
-"""Largest number of distinct ranks: the engines' scale has as many priorities."""
+"""Largest number of ranks: the engines' scale has ten priorities."""
 
 PriorityPair = tuple[int, int]
 
--- a/src/croftchute/systems/room_forecast.py
+++ b/src/croftchute/systems/room_forecast.py
@@ -15,7 +15,7 @@
 """Half-life of observed waits and grants: load peaks start and end within some seconds."""
 
 PRIOR_GRANTS = 1.0
-"""Grants assumed at the start: the weight of ``PRIOR_WAIT_S``."""
+"""Weight of ``PRIOR_WAIT_S`` in the mean wait, as a number of grants."""
 
 PRIOR_WAIT_S = 0.3
 """Mean wait assumed until some are observed. An engine with a dozen streams of a second or two ends
@@ -23,7 +23,8 @@
 
 MAX_LATE_MEAN_WAIT_S = 0.4
 """Largest mean wait for room at which a late request goes on waiting. A late answer is worth a
-fifth of one in time, and waiting in vain costs more the longer it takes, so room must be near."""
+fifth of one in time, and a wait that ends without room costs more the longer it is, so that only a
+short one is worthwhile."""
 
 CALLER_TIMEOUT_TARGETS = 4.0
 """Multiple of the target after which callers abandon a stream that has not started, as the platform
@@ -33,7 +34,7 @@
 """Multiple of the target gap after which callers abandon it, if that is longer."""
 
 MIN_CALLER_TIMEOUT_S = 2.0
-"""Seconds that callers wait for a stream to start in any case."""
+"""Shortest time that callers of any route wait for a stream to start."""
 
 MAX_LATE_WAIT_SHARE = 0.5
 """Share of the caller's timeout after which a late request stops waiting for room. Reading the
@@ -67,7 +68,7 @@
 
 @dataclass(kw_only=True)
 class RoomHistory:
-    """Decayed waits for room of the requests of one box."""
+    """Seconds waited for room and grants of the requests of one box, decayed with age."""
 
     _counts: RoomCounts = RoomCounts()
     _updated_at: float = 0.0
--- a/src/croftchute/systems/room_order.py
+++ b/src/croftchute/systems/room_order.py
@@ -19,47 +19,49 @@
 from croftchute.tables.peers import RankRoomNotice
 
 BASE_POLL_INTERVAL_S = 0.03
-"""Poll interval of the most urgent rank: streams end about as often."""
+"""Poll interval of the most urgent rank, about the time between two streams that end at the engines
+and so free memory."""
 
 POLL_INTERVAL_RATIO = 3.0
 """Ratio of the poll intervals of two successive request ranks, which are two room ranks apart. Most
 of the room that comes free goes to the more urgent one."""
 
 MAX_POLL_INTERVAL_TARGET_SHARE = 0.1
-"""Largest poll interval as a share of the target. A request polls several times before it is late,
-even if many ranks before its own are empty."""
+"""Largest poll interval as a share of the target. The interval grows with the rank even if no
+request of a more urgent rank waits; the limit lets every request poll several times before it is
+late."""
 
 MAX_POLL_INTERVAL_S = 0.5
-"""Largest poll interval of any rank: a fraction of the time that callers wait."""
+"""Largest poll interval of any rank: a quarter of the shortest time that callers wait, 2 s."""
 
 MIN_POLL_INTERVAL_S = 0.01
 """Smallest poll interval: a request that is about to be late does not poll in a busy loop."""
 
 FINAL_POLL_LEAD_S = 0.15
-"""Seconds before it would be late at which a request that holds back polls once. No rank is locked
-out for as long as a more urgent one is short of room."""
+"""Seconds before it would be late at which a request that holds back polls once. Without that, a
+rank would get no room at all while a more urgent one is short of it."""
 
 ENTRY_WAIT_THRESHOLD_S = 0.2
 """Mean wait of a rank above which less urgent requests hold back. It is a quarter of the shortest
 targets in use, so that reading the prompt still fits into the rest."""
 
 MIN_TOTAL_WAIT_S = 0.2
-"""Least recent wait of a rank, summed over its requests, for its mean wait to count. A first poll
-that found no room is no sign of a shortage. In a large fleet a box hears of few waiting requests.
-"""
+"""Least recent wait of a rank, summed over its requests, for its mean wait to count. It is above
+zero, as a first poll that found no room is no sign of a shortage, and low, as a box of a large
+fleet receives reports of few waiting requests."""
 
 
 MAX_ROOM_RANKS = 4 * MAX_RANKS
-"""Number of room ranks: two per request rank, for organisations within and over their share, and
-the same again for late requests."""
+"""Largest number of room ranks: two per request rank, for organisations within and over their
+share, and the same again for late requests."""
 
 MAX_REPORTED_VALUE = 100_000.0
 """Largest waited seconds, grants or waiting requests that a box accepts from a peer. A thousand
-requests that wait at one box add up to 3,000 s."""
+requests that wait at one box add up to some 3,000 s, as older waits are decayed."""
 
 MIN_REPORTED_COUNT = 0.01
-"""Waited seconds and grants below which a rank is dropped from reports. A new configuration may not
-have the rank any more."""
+"""Waited seconds and grants below which a rank is dropped from reports. Otherwise ranks of an
+earlier configuration would be reported for ever."""
 
 
 class OrderMode(StrEnum):
@@ -89,7 +91,7 @@
         self._waiting_by_rank[rank] += 1
 
     def end_wait(self, rank: int) -> None:
-        """Stop counting a request that got room, was refused, or lost its caller."""
+        """Stop counting a request that got room or was refused, or whose caller disconnected."""
         self._waiting_by_rank[rank] -= 1
 
     def note_waited(self, rank: int, seconds: float, now: float) -> None:
@@ -226,7 +228,7 @@
         return max(0.0, now - self.reported_at_by_rank[entry])
 
     def holds_back(self, rank: int, mode: OrderMode) -> bool:
-        """Return whether a request of a rank leaves free room to more urgent requests."""
+        """Return whether requests of a rank do not poll, so that more urgent ones get the room."""
         if mode is not OrderMode.ENTRY:
             return False
         entry = self.entry_rank()
@@ -256,8 +258,8 @@
     most large organisations are over an equal share, and the urgent requests of most callers would
     otherwise go last.
 
-    The result is below ``MAX_ROOM_RANKS``. A request that arrives while a new configuration ends
-    the order has its priority as rank, which may be any number.
+    The result is below ``MAX_ROOM_RANKS``. ``rank`` may be any number: if a new configuration ends
+    the order by rank, requests that arrived before have their priority as rank.
 
     >>> room_rank(0, ranks=3, is_late=True) > room_rank(2, ranks=3, is_late=False)
     True
--- a/src/croftchute/systems/size_lanes.py
+++ b/src/croftchute/systems/size_lanes.py
@@ -23,7 +23,7 @@
 """Largest share of the decode workers that the lane may have."""
 
 FAIR_GRANT_RATIO = 0.75
-"""Ratio of the grant rate of large requests to that of all at which they need no lane."""
+"""Ratio of the grant rate of large requests to that of all above which they need no lane."""
 
 LANE_GAIN = 3.0
 """Factor from the shortfall of the grant ratio to the fraction of the full lane that is reserved.
@@ -50,7 +50,7 @@
 
 
 def is_large(tokens: int, kv_tokens: int) -> bool:
-    """Return whether a request of so many tokens needs most of an engine.
+    """Return whether a request needs more than half of an engine's ``kv_tokens`` of memory.
 
     >>> is_large(14_000, 26_000), is_large(9_000, 26_000)
     (True, False)
--- a/src/croftchute/systems/timeouts.py
+++ b/src/croftchute/systems/timeouts.py
@@ -37,16 +37,16 @@
 elsewhere: the rest suffices for another worker to read the prompt."""
 
 TYPICAL_ANSWER_MULTIPLE = 3.0
-"""Multiple of a worker's usual answer time that a repeatable call may take, where that is longer.
-"""
+"""Multiple of a worker's usual answer time that a repeatable call may take, if that is longer than
+the share of the target."""
 
 DECODE_READING_MULTIPLE = 4.0
 """Multiple of the predicted reading time that a decode worker may take for a prompt it reads
 itself: it may read other prompts first."""
 
 PREFILL_SHARE_OF_TARGET = 0.7
-"""Share of the target that a prefill call may take: in the rest the decode worker can just read the
-prompt itself."""
+"""Share of the target that a prefill call may take: the rest is just enough for the decode worker
+to read the prompt itself."""
 
 PREFILL_RETRY_SHARE_OF_TARGET = 0.5
 """Share of the target within which a second prefill worker may be asked: reading the prompt fits
@@ -60,14 +60,14 @@
 """Shortest gap after which a stream counts as stuck: most preempted streams go on within it."""
 
 PREFILL_FULL_TOKENS = 12_000
-"""Prompt tokens in flight at which a prefill worker costs as much as a full one: three prompts."""
+"""Prompt tokens in flight at which a prefill worker counts as fully loaded: three prompts."""
 
 USUAL_GAP_MULTIPLE = 10.0
 """Multiple of a worker's usual gap after which a stream there counts as stuck. A stream still goes
 on within it if the engine suddenly runs eight times slower."""
 
 MIN_CALLER_GAP_S = 2.0
-"""Least gap between events that callers tolerate."""
+"""Gap between events that callers of any route tolerate."""
 
 CALLER_GAP_TARGETS = 4.0
 """Multiple of the target that callers tolerate as a gap, where that is longer."""
@@ -92,7 +92,6 @@
 after a refusal."""
 
 MIN_RETRY_AFTER_S = 0.1
-"""Shortest Retry-After in seconds."""
 
 DEFAULT_RETRY_AFTER_S = 1.0
 """Retry-After in seconds if no engine was full: a crashed worker or an incomplete worker list
@@ -114,8 +113,8 @@
 more."""
 
 FIRST_TRY_POLL_INTERVAL_S = 0.1
-"""Seconds between two polls for room by a first try: streams at a full worker end about as often.
-"""
+"""Seconds between two polls for room by a first try, about the time between two streams that end at
+a full worker."""
 
 RETURN_POLL_INTERVAL_S = 0.04
 """Poll interval of a caller that came back and of an interrupted stream, which go first."""
@@ -127,8 +126,8 @@
 """Poll interval of a late request in that mode: it gets room that no request in time asked for."""
 
 HOLD_OUTPUT_FACTORS = {HoldMode.LIKELY: 0.9, HoldMode.AMPLE: 1.4}
-"""Factor on the expected output that a hold covers. Half of all answers are longer than their hint;
-a stream that outgrows its hold may be preempted, and its prompt is then read again."""
+"""Factor on the expected output that a hold covers. Half of all answers are longer than expected; a
+stream that outgrows its hold may be preempted, and its prompt is then read again."""
 
 NEVER_FITS_RETRY_AFTER_S = 60.0
 """Retry-After in seconds for a prompt that fits no engine: only the operator's next configuration
@@ -138,7 +137,7 @@
 """Seconds for which a worker that had no room is not asked again."""
 
 ORDER_TIMEOUT_S = 1.0
-"""Timeout of an order to a worker."""
+"""Timeout of an order to a worker to change its stage."""
 
 HOLD_TIMEOUT_S = 0.08
 """Timeout of a hold request: some round trips, as the worker needs no free slot to answer it."""
@@ -209,7 +208,7 @@
 
 
 def retry_after(time_left_s: float, *, mean_wait_s: float | None, jitter: float) -> float:
-    """Return the Retry-After in seconds by which a refused caller is likely to be served.
+    """Return the Retry-After in seconds, after which a refused caller is likely to find room.
 
     ``mean_wait_s`` is the mean wait for room, or None if the request was refused for another
     reason. ``jitter`` is a random number between 0 and 1. The result leaves the caller time for the
@@ -241,9 +240,9 @@
 ) -> float:
     """Return the seconds between two polls for room.
 
-    ``since_first_try_s`` is the time since the caller's first try. Streams that were interrupted
-    poll most often. Of the others, ``mode`` decides which poll more often: callers that came back,
-    since they cannot come again, or requests that can still meet their target.
+    ``since_first_try_s`` is the time since the caller's first try. Streams that have begun and were
+    interrupted poll most often. Of the others, ``mode`` decides which poll more often: callers that
+    came back, since they cannot come again, or requests that can still meet their target.
     """
     if is_begun:
         return RETURN_POLL_INTERVAL_S
--- a/tests/systems/room_harness.py
+++ b/tests/systems/room_harness.py
@@ -190,7 +190,7 @@
 
 
 class ScriptedRoom(DecodeReservation):
-    """DecodeRoom that polls no worker: a script gives the result of each poll."""
+    """Reservation that polls no worker: a script gives the result of each poll."""
 
     asks = 0
     has_worker = True
--- a/tests/systems/test_fair_shares.py
+++ b/tests/systems/test_fair_shares.py
@@ -115,7 +115,7 @@
 
 
 def test_a_weight_that_is_tiny_next_to_another_does_not_divide_by_zero():
-    """The same, with the values that first showed it."""
+    """Guards against the division by zero with the values that first caused it."""
     assert fair_shares({"a": 5.0, "b": 5.0}, {"a": 1e16, "b": 1.0}, 4.0)["a"] == approx(4.0)
 
 
--- a/tests/systems/test_ranked_room_wait.py
+++ b/tests/systems/test_ranked_room_wait.py
@@ -1,4 +1,4 @@
-"""One request in the order by rank: what it counts, what it releases, and how it is refused."""
+"""Wait of one request under the order by rank: its counts, their release, and its refusal."""
 
 import asyncio
 
--- a/tests/systems/test_room_order.py
+++ b/tests/systems/test_room_order.py
@@ -86,7 +86,8 @@
 
 @pytest.mark.parametrize("boxes", [8, 61, 360])
 def test_urgent_ranks_are_served_in_a_burst_of_the_least_urgent_rank(boxes):
-    """Without an order the rank with the longest target fares best: whoever polls next gets room.
+    """Without an order, room goes to whoever polls next, and the rank with the longest target,
+    which polls for longest, is served best.
 
     The two urgent ranks ask for 0.6 of the room. At least four of five requests of the first and
     two of three of the second have to get it.
--- a/tests/systems/test_unordered_room.py
+++ b/tests/systems/test_unordered_room.py
@@ -1,4 +1,4 @@
-"""Without an order by rank, which is the default, requests wait for room as before it existed."""
+"""Without the order by rank, requests wait as they did before the order was added: the default."""
 
 import asyncio
 
@@ -26,7 +26,7 @@
 
 
 class ReferenceRoom(ScriptedRoom):
-    """The wait for room from before there was an order, kept for comparison."""
+    """Reference implementation: the wait for room before the order by rank was added."""
 
     async def reserve(self):
         run = self.run
@@ -86,7 +86,7 @@
 
 
 def reference_refusal(run, room):
-    """Return the code and Retry-After of a refusal from before there was an order."""
+    """Return the code and Retry-After of a refusal before the order by rank was added."""
     code = room.code or Code.NO_UPSTREAM
     mean_wait_s = run.state.mean_room_wait_s(run.service) if run.full_workers else None
     retry_after_s = timeouts.retry_after(
