--- a/src/croftchute/forwarding/state.py
+++ b/src/croftchute/forwarding/state.py
@@ -20,7 +20,7 @@
 from croftchute.storage.position import era_of, told
 from croftchute.storage.watched import StoredItem
 from croftchute.systems.crash_records import CrashRecords
-from croftchute.systems.fair_shares import OrganisationUse, ShareVerdict, share_verdicts
+from croftchute.systems.fair_shares import OrganisationUse, ShareUsage, share_usage_by_name
 from croftchute.systems.first_tries import FirstTryTimes
 from croftchute.systems.peer_table import PeerTable
 from croftchute.systems.plain_queue import WorkTimesByService
@@ -56,7 +56,7 @@
 """Seconds for which a lane's size is used: it follows averages of ten seconds."""
 
 SHARES_KEPT_S = 0.25
-"""Seconds for which verdicts on the shares of organisations are used: half of the time between two
+"""Seconds for which the use of shares by organisations is cached: half of the time between two
 notices."""
 
 ROOM_VIEW_KEPT_S = 0.1
@@ -81,9 +81,9 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class _KnownShares:
-    """Verdicts on the shares of organisations, and when they were made."""
+    """Use of their shares by organisations, and when it was computed."""
 
-    verdict_by_name: dict[str, ShareVerdict]
+    usage_by_name: dict[str, ShareUsage]
     at: float
 
 
@@ -348,16 +348,16 @@
         """What requests of each organisation asked for and got at this box."""
         return self.use_by_service.setdefault(service, OrganisationUse())
 
-    def share_verdict(self, service: str, organisation: str) -> ShareVerdict:
+    def share_usage(self, service: str, organisation: str) -> ShareUsage:
         """Whether an organisation has more than its share of a service's decode memory."""
         now = self.clock()
         known = self._shares_by_service.get(service)
         if known is None or now - known.at >= SHARES_KEPT_S:
             uses = [*self.organisation_use(service).notices(now), *self.peers.uses(service, now)]
             weights = self._weights(service, {use.name for use in uses})
-            known = _KnownShares(verdict_by_name=share_verdicts(uses, weights), at=now)
+            known = _KnownShares(usage_by_name=share_usage_by_name(uses, weights), at=now)
             self._shares_by_service[service] = known
-        return known.verdict_by_name.get(organisation, ShareVerdict())
+        return known.usage_by_name.get(organisation, ShareUsage())
 
     def _weights(self, service: str, names: set[str]) -> dict[str, float]:
         """The limits of organisations that have one, in tokens a second.
--- a/src/croftchute/forwarding/workers/request_run.py
+++ b/src/croftchute/forwarding/workers/request_run.py
@@ -14,7 +14,7 @@
 )
 from croftchute.forwarding.workers.queue_reporting import count_room_refusal, queue_log_fields
 from croftchute.systems import timeouts
-from croftchute.systems.fair_shares import ShareVerdict
+from croftchute.systems.fair_shares import ShareUsage
 from croftchute.systems.room_order import OrderMode, room_rank
 from croftchute.systems.size_lanes import RoomMode, is_large, lane_candidates
 from croftchute.systems.tracked_worker import TrackedWorker
@@ -147,11 +147,11 @@
         )
 
     @property
-    def share(self) -> ShareVerdict:
+    def share(self) -> ShareUsage:
         """How the organisation's use of the service's decode memory compares with its share."""
         if not self.facts.organisation:
-            return ShareVerdict()
-        return self.state.share_verdict(self.service, self.facts.organisation)
+            return ShareUsage()
+        return self.state.share_usage(self.service, self.facts.organisation)
 
     @property
     def target_left_s(self) -> float:
--- a/src/croftchute/systems/fair_shares.py
+++ b/src/croftchute/systems/fair_shares.py
@@ -90,7 +90,7 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class ShareVerdict:
+class ShareUsage:
     """Whether an organisation is over its share.
 
     ``share`` and ``used`` are its fair and its actual fraction of all granted tokens.
@@ -102,9 +102,9 @@
     used: float = 0.0
 
 
-def share_verdict(
+def share_usage(
     name: str, uses: Iterable[OrganisationUseNotice], weights_by_name: Mapping[str, float]
-) -> ShareVerdict:
+) -> ShareUsage:
     """Return how one organisation compares with its share, by the use of this box and its peers.
 
     ``weights_by_name`` holds the limits of organisations. An organisation without a limit has the
@@ -114,23 +114,23 @@
     ...     OrganisationUseNotice(name="flood", asked_tokens=90.0, granted_tokens=40.0),
     ...     OrganisationUseNotice(name="quiet", asked_tokens=20.0, granted_tokens=10.0),
     ... ]
-    >>> verdict = share_verdict("flood", uses, {"flood": 1.0, "quiet": 1.0})
-    >>> verdict.is_over, round(verdict.share, 2), round(verdict.used, 2)
+    >>> usage = share_usage("flood", uses, {"flood": 1.0, "quiet": 1.0})
+    >>> usage.is_over, round(usage.share, 2), round(usage.used, 2)
     (True, 0.6, 0.8)
-    >>> share_verdict("quiet", uses, {}).is_over
+    >>> share_usage("quiet", uses, {}).is_over
     False
     """
-    return share_verdicts(uses, weights_by_name).get(name, ShareVerdict())
+    return share_usage_by_name(uses, weights_by_name).get(name, ShareUsage())
 
 
-def share_verdicts(
+def share_usage_by_name(
     uses: Iterable[OrganisationUseNotice], weights_by_name: Mapping[str, float]
-) -> dict[str, ShareVerdict]:
+) -> dict[str, ShareUsage]:
     """Return how all organisations compare with their shares.
 
     The result is empty while room is not scarce.
 
-    >>> share_verdicts([], {})
+    >>> share_usage_by_name([], {})
     {}
     """
     demand_by_name, granted_by_name = _totals(uses)
@@ -139,7 +139,7 @@
         return {}
     shares = fair_shares(demand_by_name, weights_by_name, granted)
     return {
-        name: ShareVerdict(
+        name: ShareUsage(
             is_over=granted_by_name[name] > (1.0 + SHARE_TOLERANCE) * share,
             is_scarce=True,
             share=share / granted,
--- a/tests/systems/test_fair_shares.py
+++ b/tests/systems/test_fair_shares.py
@@ -12,8 +12,8 @@
     MAX_ORGANISATIONS_PER_NOTICE,
     OrganisationUse,
     fair_shares,
-    share_verdict,
-    share_verdicts,
+    share_usage,
+    share_usage_by_name,
 )
 from croftchute.tables.peers import OrganisationUseNotice
 
@@ -60,30 +60,30 @@
         **{f"flood{n}": (60_000, 30_000) for n in range(3)},
         **{f"quiet{n}": (10_000, 5_000) for n in range(13)},
     )
-    assert all(share_verdict(f"flood{n}", known, {}).is_over for n in range(3))
-    assert not any(share_verdict(f"quiet{n}", known, {}).is_over for n in range(13))
+    assert all(share_usage(f"flood{n}", known, {}).is_over for n in range(3))
+    assert not any(share_usage(f"quiet{n}", known, {}).is_over for n in range(13))
 
 
 def test_a_large_limit_gives_a_large_share():
     known = uses(large=(50_000, 40_000), small=(50_000, 10_000))
-    assert share_verdict("large", known, {}).is_over
-    assert not share_verdict("large", known, {"large": 80.0, "small": 20.0}).is_over
+    assert share_usage("large", known, {}).is_over
+    assert not share_usage("large", known, {"large": 80.0, "small": 20.0}).is_over
 
 
 def test_the_first_request_of_an_organisation_is_within_its_share():
     known = uses(flood=(90_000, 40_000), quiet=(3_000, 0))
-    assert not share_verdict("quiet", known, {}).is_over
-    assert not share_verdict("never seen", known, {}).is_over
+    assert not share_usage("quiet", known, {}).is_over
+    assert not share_usage("never seen", known, {}).is_over
 
 
 def test_no_organisation_is_over_its_share_while_room_is_not_short():
     known = uses(flood=(90_000, 89_000), quiet=(1_000, 1_000))
-    assert not share_verdict("flood", known, {}).is_over
+    assert not share_usage("flood", known, {}).is_over
 
 
 def test_reports_of_several_boxes_are_summed():
     apart = uses(a=(10_000, 9_000)) + uses(a=(10_000, 9_000)) + uses(b=(20_000, 2_000))
-    assert share_verdict("a", apart, {}).used == approx(0.9)
+    assert share_usage("a", apart, {}).used == approx(0.9)
 
 
 def test_old_use_decays_and_is_dropped():
@@ -139,19 +139,19 @@
     known = [weights[name] for name in {use.name for use in uses_told} if name in weights]
     usual = sum(known) / len(known) if known else 1.0
     weight_by_name = {use.name: weights.get(use.name, usual) for use in uses_told}
-    for name, verdict in share_verdicts(uses_told, weights).items():
+    for name, usage in share_usage_by_name(uses_told, weights).items():
         part = granted * weight_by_name[name] / sum(weight_by_name.values())
         wanted = sum(max(u.asked_tokens, u.granted_tokens) for u in uses_told if u.name == name)
-        assert not (wanted <= part and verdict.is_over)
-        assert verdict == share_verdict(name, uses_told, weights)
+        assert not (wanted <= part and usage.is_over)
+        assert usage == share_usage(name, uses_told, weights)
 
 
 @given(use_entries)
 def test_shares_of_granted_tokens_sum_to_one(rows):
     """Guards against granted tokens that count for no organisation, or twice."""
-    verdicts = share_verdicts(notices(rows), {})
-    assert not verdicts or sum(v.share for v in verdicts.values()) == approx(1.0)
-    assert not verdicts or sum(v.used for v in verdicts.values()) == approx(1.0)
+    usages = share_usage_by_name(notices(rows), {})
+    assert not usages or sum(usage.share for usage in usages.values()) == approx(1.0)
+    assert not usages or sum(usage.used for usage in usages.values()) == approx(1.0)
 
 
 @pytest.mark.parametrize("invalid", [math.nan, math.inf, -math.inf, -1.0, -1e300, 1e300])
@@ -161,7 +161,7 @@
     for asked, granted in ((invalid, 1.0), (1.0, invalid), (invalid, invalid)):
         for name in ("flood", "quiet", "other"):
             told = [*known, *uses(**{name: (asked, granted)})]
-            assert share_verdicts(told, {}) == share_verdicts(known, {})
+            assert share_usage_by_name(told, {}) == share_usage_by_name(known, {})
 
 
 def test_a_grant_decays_like_the_request_it_answers():
--- a/tests/systems/test_ranked_room_wait.py
+++ b/tests/systems/test_ranked_room_wait.py
@@ -281,10 +281,10 @@
     other = organisation("b", rate_per_s=1_000.0, unit=LimitUnit.TOKENS)
     harness = RoomHarness(monkeypatch, organisations=[small, other])
     note_use(harness, a=(90_000, 30_000), b=(90_000, 20_000))
-    assert harness.state.share_verdict("llm", "a").is_over
+    assert harness.state.share_usage("llm", "a").is_over
     harness.state.table = table((0, 1, 2), version=2, organisations=[large, other])
     harness.now += 0.25
-    assert not harness.state.share_verdict("llm", "a").is_over
+    assert not harness.state.share_usage("llm", "a").is_over
 
 
 def note_use(harness, **asked_and_granted):
@@ -306,18 +306,18 @@
     demand = harness.state.demand("llm")
     demand.note_ask(harness.now, prompt_tokens=5_400, output_tokens=600)
     note_use(harness, **{"by-request": (90_000, 25_000), "by-token": (90_000, 25_000)})
-    verdicts = [harness.state.share_verdict("llm", name) for name in ("by-request", "by-token")]
-    assert [verdict.share for verdict in verdicts] == pytest.approx([0.5, 0.5])
-    assert not any(verdict.is_over for verdict in verdicts)
+    usages = [harness.state.share_usage("llm", name) for name in ("by-request", "by-token")]
+    assert [usage.share for usage in usages] == pytest.approx([0.5, 0.5])
+    assert not any(usage.is_over for usage in usages)
 
 
-def test_share_verdicts_are_cached_per_service(monkeypatch):
+def test_share_usage_is_cached_per_service(monkeypatch):
     """Guards against a cache that grows with the number of organisations, and against summing up
     all notices for each of them, which took 0.9 ms four times a second for each.
     """
     harness = RoomHarness(monkeypatch, organisations=[organisation("o0")])
     for number in range(100):
-        harness.state.share_verdict("llm", f"o{number}")
+        harness.state.share_usage("llm", f"o{number}")
     assert list(harness.state._shares_by_service) == ["llm"]
 
 
