--- a/src/croftchute/forwarding/http/held_answers.py
+++ b/src/croftchute/forwarding/http/held_answers.py
@@ -42,7 +42,7 @@
     ) -> None:
         self.clock = clock
         self.on_ended = on_ended
-        self.count = HeldBytes(bounds=HeldBounds.of_memory(memory_mb))
+        self.count = HeldBytes(bounds=HeldBounds.from_memory_mb(memory_mb))
         self._answers_by_number: dict[int, HeldAnswer] = {}
         self._numbers = itertools.count(1)
 
@@ -53,7 +53,7 @@
 
     def set_memory(self, memory_mb: float) -> None:
         """The settings were read again; what holds too much by the new bounds is ended."""
-        self.count.bounds = HeldBounds.of_memory(memory_mb)
+        self.count.bounds = HeldBounds.from_memory_mb(memory_mb)
         self._end_largest()
 
     def open(self, answer: HeldAnswer) -> int:
--- a/src/croftchute/forwarding/state.py
+++ b/src/croftchute/forwarding/state.py
@@ -296,7 +296,7 @@
         self._renew_ranks(table)
         ranks = self._request_ranks_by_service.get(service)
         if ranks is None:
-            ranks = RequestRanks.of_service(table, service)
+            ranks = RequestRanks.from_table(table, service)
             self._request_ranks_by_service[service] = ranks
         return ranks
 
@@ -318,7 +318,7 @@
         known = self._room_view_by_service.get(service)
         if known is None or now - known.at >= ROOM_VIEW_KEPT_S:
             own = self.ranked_room(service).notices(now)
-            view = RoomView.of(own, self.peers.ranks(service, now), now=now)
+            view = RoomView.from_notices(own, self.peers.ranks(service, now), now=now)
             known = _KnownRoom(view=view, at=now)
             self._room_view_by_service[service] = known
         return known.view
--- a/src/croftchute/systems/held_bytes.py
+++ b/src/croftchute/systems/held_bytes.py
@@ -30,12 +30,12 @@
     stream_bytes: int = MAX_STREAM_BYTES
 
     @classmethod
-    def of_memory(cls, memory_mb: float) -> HeldBounds | None:
+    def from_memory_mb(cls, memory_mb: float) -> HeldBounds | None:
         """Return the bounds of a box with ``memory_mb`` MB, or None if the value is unusable.
 
-        >>> HeldBounds.of_memory(136.0)
+        >>> HeldBounds.from_memory_mb(136.0)
         HeldBounds(box_bytes=34000000, stream_bytes=262144)
-        >>> HeldBounds.of_memory(0.0) is None
+        >>> HeldBounds.from_memory_mb(0.0) is None
         True
         """
         if not math.isfinite(memory_mb) or memory_mb <= 0.0:
--- a/src/croftchute/systems/request_rank.py
+++ b/src/croftchute/systems/request_rank.py
@@ -30,7 +30,7 @@
     rank_by_priorities: dict[PriorityPair, int] = field(default_factory=dict)
 
     @classmethod
-    def of_service(cls, table: RoutingTable, service: str) -> Self:
+    def from_table(cls, table: RoutingTable, service: str) -> Self:
         """Return the ranks that a configuration gives to the streams to a service."""
         routes = {
             route.priority
@@ -39,16 +39,16 @@
             if route.kind is RouteKind.STREAM
             and any(target.service == service for target in route.targets)
         }
-        return cls.of_priorities(routes, _organisation_priorities(table))
+        return cls.from_priorities(routes, _organisation_priorities(table))
 
     @classmethod
-    def of_priorities(cls, routes: Iterable[int], organisations: Iterable[int | None]) -> Self:
+    def from_priorities(cls, routes: Iterable[int], organisations: Iterable[int | None]) -> Self:
         """Return the ranks of all pairs of route and organisation priorities.
 
-        >>> ranks = RequestRanks.of_priorities({0, 2}, {None, 1})
+        >>> ranks = RequestRanks.from_priorities({0, 2}, {None, 1})
         >>> ranks.rank(1, 0), ranks.rank(1, 2), ranks.rank(None, 0), ranks.rank(None, 2)
         (0, 1, 2, 3)
-        >>> RequestRanks.of_priorities({1}, {0, 1}).is_ordered
+        >>> RequestRanks.from_priorities({1}, {0, 1}).is_ordered
         False
         """
         by_route = sorted(set(routes))
--- a/src/croftchute/systems/room_order.py
+++ b/src/croftchute/systems/room_order.py
@@ -141,7 +141,7 @@
     reported_at_by_rank: dict[int, float] = field(default_factory=dict)
 
     @classmethod
-    def of(
+    def from_notices(
         cls,
         own: Iterable[RankRoomNotice],
         from_peers: Iterable[tuple[RankRoomNotice, float]] = (),
@@ -219,7 +219,7 @@
         """Return the age in seconds of the latest report that the entry rank waits, or None.
 
         >>> notice = RankRoomNotice(rank=2, waited_s=4.0, grants=3.0, waiting=1)
-        >>> RoomView.of([], [(notice, 7.5), (notice, 7.0)]).entry_age_s(8.0)
+        >>> RoomView.from_notices([], [(notice, 7.5), (notice, 7.0)]).entry_age_s(8.0)
         0.5
         """
         entry = self.entry_rank()
--- a/tests/systems/room_simulation.py
+++ b/tests/systems/room_simulation.py
@@ -25,7 +25,9 @@
 
     def view(self, now):
         fresh = [rows for at, rows in self.notices_by_box.values() if now - at <= NOTICE_LIFETIME_S]
-        return RoomView.of([*self.room.notices(now), *(row for rows in fresh for row in rows)])
+        return RoomView.from_notices(
+            [*self.room.notices(now), *(row for rows in fresh for row in rows)]
+        )
 
 
 @dataclass
--- a/tests/systems/test_held_bytes.py
+++ b/tests/systems/test_held_bytes.py
@@ -118,7 +118,7 @@
 @pytest.mark.parametrize("memory_mb", [0.0, -1.0, math.nan, math.inf, -math.inf])
 def test_an_unusable_memory_size_gives_no_bounds(memory_mb):
     """A missing or invalid memory size used to bound all answers to nothing."""
-    assert HeldBounds.of_memory(memory_mb) is None
+    assert HeldBounds.from_memory_mb(memory_mb) is None
 
 
 def test_without_bounds_no_answer_is_ended_and_invalid_sizes_are_ignored():
--- a/tests/systems/test_request_rank.py
+++ b/tests/systems/test_request_rank.py
@@ -31,7 +31,7 @@
 
 @given(priorities, priorities)
 def test_ranks_sort_by_organisation_before_route(organisations, routes):
-    ranks = RequestRanks.of_priorities(routes, organisations)
+    ranks = RequestRanks.from_priorities(routes, organisations)
     pairs = sorted((first, second) for first in organisations for second in routes)
     found = [ranks.rank(*pair) for pair in pairs]
     assert found == sorted(found)
@@ -46,11 +46,11 @@
         route("c", 2, kind=RouteKind.ONCE),
         route("d", 3, service="other"),
     )
-    assert not RequestRanks.of_service(known, "llm").is_ordered
+    assert not RequestRanks.from_table(known, "llm").is_ordered
 
 
 def test_streams_of_different_priorities_are_ordered():
-    ranks = RequestRanks.of_service(table(route("a", 0), route("b", 2)), "llm")
+    ranks = RequestRanks.from_table(table(route("a", 0), route("b", 2)), "llm")
     assert ranks.is_ordered
     assert ranks.rank(None, 0) < ranks.rank(None, 2)
 
@@ -62,7 +62,7 @@
             for name, priority in (("first", 0), ("some", None), ("last", 9))
         }
     )
-    ranks = RequestRanks.of_service(
+    ranks = RequestRanks.from_table(
         table(route("a", 0), route("b", 1), organisations=organisations), "llm"
     )
     assert ranks.rank(0, 1) < ranks.rank(None, 0) < ranks.rank(None, 1) < ranks.rank(9, 0)
@@ -70,5 +70,5 @@
 
 def test_priorities_that_the_configuration_lacks_rank_last():
     """A request may have arrived under the previous configuration."""
-    ranks = RequestRanks.of_service(table(route("a", 0), route("b", 1)), "llm")
+    ranks = RequestRanks.from_table(table(route("a", 0), route("b", 1)), "llm")
     assert ranks.rank(None, 7) == ranks.count - 1
--- a/tests/systems/test_room_order.py
+++ b/tests/systems/test_room_order.py
@@ -136,7 +136,7 @@
     )
 )
 def test_no_rank_has_a_shorter_mean_wait_than_a_more_urgent_one(rows):
-    view = RoomView.of(
+    view = RoomView.from_notices(
         RankRoomNotice(rank=rank, waited_s=waited, grants=grants)
         for rank, (waited, grants) in rows.items()
     )
@@ -169,7 +169,7 @@
     for waited_s, grants in ((invalid, 1.0), (1.0, invalid), (invalid, invalid)):
         for rank in (0, 1, 2):
             notice = RankRoomNotice(rank=rank, waited_s=waited_s, grants=grants, waiting=1)
-            assert RoomView.of([*known, notice]) == RoomView.of(known)
+            assert RoomView.from_notices([*known, notice]) == RoomView.from_notices(known)
 
 
 @pytest.mark.parametrize("rank, waiting", [(MAX_ROOM_RANKS, 1), (255, 1), (-1, 1), (1, -5)])
@@ -177,7 +177,7 @@
     """Guards against state that grows with what peers report, and against negative counts."""
     known = [RankRoomNotice(rank=1, waited_s=3.0, grants=2.0, waiting=1)]
     notice = RankRoomNotice(rank=rank, waited_s=9.0, grants=0.0, waiting=waiting)
-    assert RoomView.of([*known, notice]) == RoomView.of(known)
+    assert RoomView.from_notices([*known, notice]) == RoomView.from_notices(known)
 
 
 @given(st.integers(-1_000, 1_000), st.integers(1, 10), st.booleans(), st.booleans())
