--- a/src/croftchute/forwarding/workers/queue_reporting.py
+++ b/src/croftchute/forwarding/workers/queue_reporting.py
@@ -25,11 +25,11 @@
     if not run.is_ordered:
         return {}
     view = run.state.room_view(run.service)
-    age_s = view.entry_age_s(run.now)
+    age_s = view.starved_report_age_s(run.now)
     facts: dict[str, object] = {
         "rank": run.rank,
         "room_rank": run.room_rank,
-        "entry_rank": view.entry_rank(),
+        "entry_rank": view.starved_rank(),
         "entry_age_s": None if age_s is None else round(age_s, 3),
     }
     if (share := run.share).is_scarce:
--- a/src/croftchute/systems/room_order.py
+++ b/src/croftchute/systems/room_order.py
@@ -41,7 +41,7 @@
 """Seconds before it would be late at which a request that holds back polls once. Without that, a
 rank would get no room at all while a more urgent one is short of it."""
 
-ENTRY_WAIT_THRESHOLD_S = 0.2
+STARVED_MEAN_WAIT_S = 0.2
 """Mean wait of a rank above which less urgent requests hold back. It is a quarter of the shortest
 targets in use, so that reading the prompt still fits into the rest."""
 
@@ -197,13 +197,13 @@
         urgent = (counts for other, counts in self.counts_by_rank.items() if other < rank)
         return max([own.mean_wait_s, *(c.mean_wait_s for c in urgent if c.waited_s > 0.0)])
 
-    def entry_rank(self) -> int | None:
+    def starved_rank(self) -> int | None:
         """Return the most urgent rank that waits too long, or None if no rank does.
 
-        Requests of less urgent ranks hold back.
+        Requests of less urgent ranks hold back. Log lines have it as ``entry_rank``.
 
         >>> RoomView(counts_by_rank={2: RoomCounts(waited_s=4.0, grants=3.0)},
-        ...          waiting_by_rank={2: 1}).entry_rank()
+        ...          waiting_by_rank={2: 1}).starved_rank()
         2
         """
         starved_ranks = [
@@ -211,28 +211,28 @@
             for rank, counts in self.counts_by_rank.items()
             if self.waiting_by_rank.get(rank, 0) > 0
             and counts.waited_s >= MIN_TOTAL_WAIT_S
-            and counts.mean_wait_s > ENTRY_WAIT_THRESHOLD_S
+            and counts.mean_wait_s > STARVED_MEAN_WAIT_S
         ]
         return min(starved_ranks, default=None)
 
-    def entry_age_s(self, now: float) -> float | None:
-        """Return the age in seconds of the latest report that the entry rank waits, or None.
+    def starved_report_age_s(self, now: float) -> float | None:
+        """Return the age in seconds of the latest report that the starved rank waits, or None.
 
         >>> notice = RankRoomNotice(rank=2, waited_s=4.0, grants=3.0, waiting=1)
-        >>> RoomView.from_notices([], [(notice, 7.5), (notice, 7.0)]).entry_age_s(8.0)
+        >>> RoomView.from_notices([], [(notice, 7.5), (notice, 7.0)]).starved_report_age_s(8.0)
         0.5
         """
-        entry = self.entry_rank()
-        if entry is None or entry not in self.reported_at_by_rank:
+        starved = self.starved_rank()
+        if starved is None or starved not in self.reported_at_by_rank:
             return None
-        return max(0.0, now - self.reported_at_by_rank[entry])
+        return max(0.0, now - self.reported_at_by_rank[starved])
 
     def holds_back(self, rank: int, mode: OrderMode) -> bool:
         """Return whether requests of a rank do not poll, so that more urgent ones get the room."""
         if mode is not OrderMode.ENTRY:
             return False
-        entry = self.entry_rank()
-        return entry is not None and rank > entry
+        starved = self.starved_rank()
+        return starved is not None and rank > starved
 
 
 def poll_interval_s(rank: int, *, target_s: float = math.inf) -> float:
--- a/tests/platform_adapter/test_room_by_rank.py
+++ b/tests/platform_adapter/test_room_by_rank.py
@@ -233,8 +233,8 @@
             room = box.state.ranked_room("llm")
             room.begin_wait(0)
             room.note_waited(0, MIN_TOTAL_WAIT_S / 2, box.state.clock())
-            assert box.state.room_view("llm").entry_rank() is None
-            assert box.state.room_view("llm").entry_age_s(box.state.clock()) is None
+            assert box.state.room_view("llm").starved_rank() is None
+            assert box.state.room_view("llm").starved_report_age_s(box.state.clock()) is None
 
     run(body)
 
