--- a/src/croftchute/systems/held_bytes.py
+++ b/src/croftchute/systems/held_bytes.py
@@ -66,7 +66,7 @@
     """Bytes held for one answer, and the time since which it has had any without a break."""
 
     size: int
-    since: float
+    held_since: float
 
 
 class HeldBytes:
@@ -95,14 +95,14 @@
             return MAX_STREAM_BYTES
         return min(bounds.stream_bytes, bounds.box_bytes // max(1, self.open_streams))
 
-    def held(self, stream: int) -> int:
+    def size(self, stream: int) -> int:
         """Return the bytes held for an answer; 0 if it is not open."""
         usage = self._by_stream.get(stream)
         return usage.size if usage is not None else 0
 
     def open(self, stream: int, now: float) -> None:
         """Start counting an answer, with nothing held for it yet."""
-        self._by_stream.setdefault(stream, _StreamUsage(size=0, since=now))
+        self._by_stream.setdefault(stream, _StreamUsage(size=0, held_since=now))
 
     def close(self, stream: int) -> None:
         """Stop counting an answer that has ended or whose caller has left."""
@@ -116,7 +116,7 @@
         if usage is None or size < 0:
             return
         if usage.size == 0:
-            usage.since = now
+            usage.held_since = now
         self.total += size - usage.size
         usage.size = size
 
@@ -142,7 +142,7 @@
             box_bound=bounds.box_bytes,
             stream_bound=self.stream_bound,
             open_streams=self.open_streams,
-            age_s=now - usage.since,
+            age_s=now - usage.held_since,
         )
         self.close(stream)
         return ended
--- a/tests/systems/test_held_bytes.py
+++ b/tests/systems/test_held_bytes.py
@@ -23,7 +23,7 @@
 
 
 def sizes_by_stream(held):
-    return {stream: held.held(stream) for stream in range(10)}
+    return {stream: held.size(stream) for stream in range(10)}
 
 
 @given(steps)
@@ -35,7 +35,7 @@
             held.close(stream)
         else:
             held.open(stream, now)
-            held.set_size(stream, held.held(stream) + part, now)
+            held.set_size(stream, held.size(stream) + part, now)
             assert held.total <= BOX + part
             held.end_largest(now)
         assert held.total == sum(sizes_by_stream(held).values()) <= BOX
@@ -50,7 +50,7 @@
         if part == 0:
             continue
         held.open(stream, now)
-        held.set_size(stream, held.held(stream) + part, now)
+        held.set_size(stream, held.size(stream) + part, now)
         before = sizes_by_stream(held)
         total = held.total
         ended = held.end_largest(now)
