--- a/src/croftchute/forwarding/workers/plain_admission.py
+++ b/src/croftchute/forwarding/workers/plain_admission.py
@@ -44,7 +44,7 @@
         for tracked in asked
         if (load := _fresh_load(run.state, tracked)) is not None
     }
-    work_s = run.state.work_times.usual_s(run.service)
+    work_s = run.state.work_times.mean_s(run.service)
     choice = plain_queue.choose_worker(
         loads_by_id,
         work_s=work_s,
--- a/src/croftchute/systems/plain_queue.py
+++ b/src/croftchute/systems/plain_queue.py
@@ -40,7 +40,7 @@
     def end_s(self, work_s: float, *, work_ratio: float = 1.0) -> float:
         """Return the seconds until another call would end.
 
-        ``work_s`` is the usual working time. The call itself takes ``work_ratio`` times as long.
+        ``work_s`` is the mean working time. The call itself takes ``work_ratio`` times as long.
 
         >>> QueueLoad(running=3, waiting=0, slots=6).end_s(0.09)
         0.09
@@ -55,15 +55,15 @@
 class MeanWorkTime:
     """Moving average of a plain service's working time in seconds, without waits; 0 if unknown."""
 
-    usual_s: float = 0.0
+    mean_s: float = 0.0
 
     def note(self, seconds: float, *, waiting: int) -> None:
         """Add the time of an answer, unless other calls waited: that time includes the queue."""
         if waiting > 0 or seconds <= 0.0:
             return
-        if self.usual_s == 0.0:
-            self.usual_s = seconds
-        self.usual_s += WORK_TIME_SAMPLE_WEIGHT * (seconds - self.usual_s)
+        if self.mean_s == 0.0:
+            self.mean_s = seconds
+        self.mean_s += WORK_TIME_SAMPLE_WEIGHT * (seconds - self.mean_s)
 
 
 @dataclass(kw_only=True)
@@ -76,10 +76,10 @@
         """Add the time of an answer while ``waiting`` calls were queued at its worker."""
         self._time_by_service.setdefault(service, MeanWorkTime()).note(seconds, waiting=waiting)
 
-    def usual_s(self, service: str) -> float:
+    def mean_s(self, service: str) -> float:
         """Return the mean working time in seconds; 0 if unknown."""
         time = self._time_by_service.get(service)
-        return time.usual_s if time is not None else 0.0
+        return time.mean_s if time is not None else 0.0
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
--- a/tests/systems/test_plain_queue.py
+++ b/tests/systems/test_plain_queue.py
@@ -118,7 +118,7 @@
     time = MeanWorkTime()
     time.note(0.09, waiting=0)
     time.note(2.0, waiting=9)
-    assert time.usual_s == 0.09
+    assert time.mean_s == 0.09
 
 
 def tracked(**known):
