--- a/src/croftchute/forwarding/workers/decode_reservation.py
+++ b/src/croftchute/forwarding/workers/decode_reservation.py
@@ -99,7 +99,7 @@
             run.route,
             run.state.ways.returns,
             since_first_try_s=run.earlier_tries_s,
-            is_begun=is_begun,
+            is_started=is_begun,
         )
         return PollingWait(history=run.state.room(run.service), poll_s=pause_s)
 
--- a/src/croftchute/forwarding/workers/worker_call.py
+++ b/src/croftchute/forwarding/workers/worker_call.py
@@ -80,7 +80,7 @@
         may_repeat = self.send.is_prefill or self.run.route.may_repeat
         if may_repeat or self.tracked.has_rejected_recently(self.run.now):
             return math.inf
-        return timeouts.MAX_ONCE_IDLE_S
+        return timeouts.MAX_UNREPEATABLE_IDLE_S
 
     async def open(self) -> None:
         """Connect and send; raise :class:`ConnectFailedError` if nothing was sent."""
--- a/src/croftchute/forwarding/workers/worker_control.py
+++ b/src/croftchute/forwarding/workers/worker_control.py
@@ -163,7 +163,7 @@
     data = state.workers_speak.stage_order(
         worker, stage, holder=holder, token=token, sequence=report.orders_taken
     )
-    status, _ = await control_call(state, worker, data, timeouts.ORDER_TIMEOUT_S)
+    status, _ = await control_call(state, worker, data, timeouts.STAGE_ORDER_TIMEOUT_S)
     return status
 
 
--- a/src/croftchute/systems/timeouts.py
+++ b/src/croftchute/systems/timeouts.py
@@ -82,7 +82,7 @@
 CONNECT_TIMEOUT_S = 0.25
 """Timeout of a connection attempt: many round trips, and a small part of any target."""
 
-MAX_ONCE_IDLE_S = 0.25
+MAX_UNREPEATABLE_IDLE_S = 0.25
 """Longest idle time of a pooled connection that may carry a request that must not be repeated: an
 older one may be dead without notice. The stream that follows a hold request still reuses its
 connection; other requests pay a round trip for a new one."""
@@ -136,7 +136,7 @@
 FULL_WORKER_BACKOFF_S = 0.03
 """Seconds for which a worker that had no room is not asked again."""
 
-ORDER_TIMEOUT_S = 1.0
+STAGE_ORDER_TIMEOUT_S = 1.0
 """Timeout of an order to a worker to change its stage."""
 
 HOLD_TIMEOUT_S = 0.08
@@ -236,7 +236,7 @@
 
 
 def room_poll_interval_s(
-    route: Route, mode: ReturnMode, *, since_first_try_s: float, is_begun: bool
+    route: Route, mode: ReturnMode, *, since_first_try_s: float, is_started: bool
 ) -> float:
     """Return the seconds between two polls for room.
 
@@ -244,7 +244,7 @@
     interrupted poll most often. Of the others, ``mode`` decides which poll more often: callers that
     came back, since they cannot come again, or requests that can still meet their target.
     """
-    if is_begun:
+    if is_started:
         return RETURN_POLL_INTERVAL_S
     if mode is ReturnMode.RETURNED_FIRST:
         is_returning = since_first_try_s > (1.0 - FIRST_TRY_MIN_TIME_SHARE) * route.timeout_s
--- a/tests/systems/test_room_order.py
+++ b/tests/systems/test_room_order.py
@@ -36,9 +36,9 @@
 RETURN_MODES = (ReturnMode.IN_TIME_FIRST, ReturnMode.RETURNED_FIRST)
 
 
-def poll_interval(mode, since_first_try_s, *, is_begun=False):
+def poll_interval(mode, since_first_try_s, *, is_started=False):
     return timeouts.room_poll_interval_s(
-        ROUTE, mode, since_first_try_s=since_first_try_s, is_begun=is_begun
+        ROUTE, mode, since_first_try_s=since_first_try_s, is_started=is_started
     )
 
 
@@ -54,7 +54,7 @@
 
 def test_interrupted_streams_poll_most_often_in_both_modes():
     for mode in RETURN_MODES:
-        assert poll_interval(mode, LATE_RETRY_S, is_begun=True) <= min(
+        assert poll_interval(mode, LATE_RETRY_S, is_started=True) <= min(
             poll_interval(mode, FIRST_TRY_S), poll_interval(mode, LATE_RETRY_S)
         )
 
--- a/tests/systems/test_unordered_room.py
+++ b/tests/systems/test_unordered_room.py
@@ -32,34 +32,34 @@
         run = self.run
         self.code = None
         self.detail = ""
-        is_begun = run.exchange.is_started
+        is_started = run.exchange.is_started
         pause_s = timeouts.room_poll_interval_s(
             run.route,
             run.state.ways.returns,
             since_first_try_s=run.earlier_tries_s,
-            is_begun=is_begun,
+            is_started=is_started,
         )
         asked_at = run.now
         has_waited = False
         while True:
             found = await self._ask_for_room()
             if found is not None:
-                if not is_begun:
+                if not is_started:
                     run.state.demand(run.service).note_granted(run.now, is_large=run.is_large)
                 if has_waited:
                     run.state.room(run.service).note_granted(run.now)
                 return found
-            may_come = run.full_workers or (is_begun and self._does_rest_end_soon())
-            if not may_come or not self._may_wait(asked_at, is_begun=is_begun):
+            may_come = run.full_workers or (is_started and self._does_rest_end_soon())
+            if not may_come or not self._may_wait(asked_at, is_started=is_started):
                 return None
             await asyncio.sleep(pause_s)
             has_waited = True
             run.state.room(run.service).note_waited(pause_s, run.now)
             run.full_workers.clear()
 
-    def _may_wait(self, asked_at, *, is_begun):
+    def _may_wait(self, asked_at, *, is_started):
         run = self.run
-        if is_begun:
+        if is_started:
             return run.now - asked_at < min(timeouts.RESUME_WAIT_S, run.time_left_s)
         if run.state.is_ending(run.now):
             return False
