--- a/tests/systems/room_harness.py
+++ b/tests/systems/room_harness.py
@@ -178,7 +178,7 @@
 
     def reserve(self, run, script, *, room=None):
         """Wait for room; the last result of the script repeats."""
-        room = room or ScriptedRoom(run=run)
+        room = room or ScriptedReservation(run=run)
         room.script = list(script)
         found = asyncio.run(room.reserve())
         return room, found
@@ -189,7 +189,7 @@
         return run.connection.sent
 
 
-class ScriptedRoom(DecodeReservation):
+class ScriptedReservation(DecodeReservation):
     """Reservation that polls no worker: a script gives the result of each poll."""
 
     asks = 0
--- a/tests/systems/test_fair_shares.py
+++ b/tests/systems/test_fair_shares.py
@@ -97,9 +97,9 @@
     use = OrganisationUse()
     for number in range(1_000):
         use.note_asked(f"o{number}", 10 + number, 0.0)
-    told = use.notices(0.0)
-    assert len(told) == MAX_ORGANISATIONS_PER_NOTICE
-    assert {entry.name for entry in told} == {
+    reported = use.notices(0.0)
+    assert len(reported) == MAX_ORGANISATIONS_PER_NOTICE
+    assert {entry.name for entry in reported} == {
         f"o{n}" for n in range(1_000 - MAX_ORGANISATIONS_PER_NOTICE, 1_000)
     }
 
@@ -134,16 +134,16 @@
 @given(use_entries, st.dictionaries(names, st.floats(0.1, 1e5)))
 def test_a_demand_below_its_weighted_part_is_never_over(rows, weights):
     """More granted than asked, as after a wait, used to exceed any share."""
-    uses_told = notices(rows)
-    granted = sum(use.granted_tokens for use in uses_told)
-    known = [weights[name] for name in {use.name for use in uses_told} if name in weights]
-    usual = sum(known) / len(known) if known else 1.0
-    weight_by_name = {use.name: weights.get(use.name, usual) for use in uses_told}
-    for name, usage in share_usage_by_name(uses_told, weights).items():
+    reported_uses = notices(rows)
+    granted = sum(use.granted_tokens for use in reported_uses)
+    known = [weights[name] for name in {use.name for use in reported_uses} if name in weights]
+    default_weight = sum(known) / len(known) if known else 1.0
+    weight_by_name = {use.name: weights.get(use.name, default_weight) for use in reported_uses}
+    for name, usage in share_usage_by_name(reported_uses, weights).items():
         part = granted * weight_by_name[name] / sum(weight_by_name.values())
-        wanted = sum(max(u.asked_tokens, u.granted_tokens) for u in uses_told if u.name == name)
+        wanted = sum(max(u.asked_tokens, u.granted_tokens) for u in reported_uses if u.name == name)
         assert not (wanted <= part and usage.is_over)
-        assert usage == share_usage(name, uses_told, weights)
+        assert usage == share_usage(name, reported_uses, weights)
 
 
 @given(use_entries)
@@ -160,8 +160,8 @@
     known = uses(flood=(90_000, 40_000), quiet=(10_000, 5_000))
     for asked, granted in ((invalid, 1.0), (1.0, invalid), (invalid, invalid)):
         for name in ("flood", "quiet", "other"):
-            told = [*known, *uses(**{name: (asked, granted)})]
-            assert share_usage_by_name(told, {}) == share_usage_by_name(known, {})
+            reported = [*known, *uses(**{name: (asked, granted)})]
+            assert share_usage_by_name(reported, {}) == share_usage_by_name(known, {})
 
 
 def test_a_grant_decays_like_the_request_it_answers():
--- a/tests/systems/test_plain_queue.py
+++ b/tests/systems/test_plain_queue.py
@@ -26,7 +26,7 @@
         self.rng = random.Random(seed)
         self.free_at = [[0.0] * SLOTS for _ in range(3)]
         self.ends = [[] for _ in range(3)]
-        self.shed = 0
+        self.rejected_calls = 0
 
     def load(self, number, now):
         open_calls = sum(end > now for end in self.ends[number])
@@ -38,7 +38,7 @@
         """Return when the call ends, or None if it is rejected."""
         load = self.load(number, now)
         if load.waiting >= MAX_WAITING:
-            self.shed += 1
+            self.rejected_calls += 1
             return None
         begin = max(now, heapq.heappop(self.free_at[number]))
         end = begin + WORK_S * self.rng.lognormvariate(-0.125, 0.5)
@@ -70,23 +70,23 @@
             number = rng.randrange(3)
         end = workers.send(number, now)
         in_time += end is not None and end - now <= TARGET_S
-    return in_time / total, refused / total, workers.shed / total
+    return in_time / total, refused / total, workers.rejected_calls / total
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_calls_at_the_full_rate_of_the_service_are_in_time(seed):
     """One of three workers used to queue for a second while the other two had free slots."""
-    in_time, refused, shed = simulate(3 * SLOTS / WORK_S, has_probes=True, seed=seed)
+    in_time, refused, rejected = simulate(3 * SLOTS / WORK_S, has_probes=True, seed=seed)
     assert in_time >= 0.95
-    assert shed < 0.01
+    assert rejected < 0.01
     assert simulate(3 * SLOTS / WORK_S, has_probes=False, seed=seed)[0] < 0.95
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_admitted_calls_at_twice_the_rate_are_in_time(seed):
     """All calls used to wait in full queues, so that nearly all were late."""
-    in_time, refused, shed = simulate(2 * 3 * SLOTS / WORK_S, has_probes=True, seed=seed)
-    assert shed < 0.01
+    in_time, refused, rejected = simulate(2 * 3 * SLOTS / WORK_S, has_probes=True, seed=seed)
+    assert rejected < 0.01
     assert in_time / (1.0 - refused) >= 0.95
     assert in_time > 2 * simulate(2 * 3 * SLOTS / WORK_S, has_probes=False, seed=seed)[0]
 
--- a/tests/systems/test_ranked_room_wait.py
+++ b/tests/systems/test_ranked_room_wait.py
@@ -3,7 +3,15 @@
 import asyncio
 
 import pytest
-from room_harness import FULL, GRANTED, NO_WORKER, RoomHarness, ScriptedRoom, organisation, table
+from room_harness import (
+    FULL,
+    GRANTED,
+    NO_WORKER,
+    RoomHarness,
+    ScriptedReservation,
+    organisation,
+    table,
+)
 
 from croftchute.errors import Code
 from croftchute.forwarding.decision_log import Decision
@@ -59,7 +67,7 @@
     """
     harness = RoomHarness(monkeypatch, organisations=[organisation("o")])
     run = harness.request(0, organisation="o")
-    room = ScriptedRoom(run=run)
+    room = ScriptedReservation(run=run)
     for _ in range(3):
         harness.reserve(run, [GRANTED], room=room)
     use = use_of(harness, "o")
@@ -183,7 +191,7 @@
     harness = RoomHarness(monkeypatch)
     add_urgent_wait(harness, waited_s=0.3)
     run = harness.request(1, prompt=SHORT_PROMPT_TOKENS)
-    room = ScriptedRoom(run=run)
+    room = ScriptedReservation(run=run)
     room.has_worker = False
     _, found = harness.reserve(run, [NO_WORKER], room=room)
     assert found is None and harness.sleeps == [] and not run.is_held_back
@@ -245,17 +253,17 @@
     harness = RoomHarness(
         monkeypatch, priorities=(0, 700), organisations=[organisation("o", priority=900)]
     )
-    told = []
+    reported_ranks = []
 
     def end_order():
         harness.state.table = table(
             [700], version=2, organisations=[organisation("o", priority=900)]
         )
-        told.extend(harness.state.ranked_room("llm").waiting_by_rank())
+        reported_ranks.extend(harness.state.ranked_room("llm").waiting_by_rank())
 
     harness.on_sleep = end_order
     harness.reserve(harness.request(700, organisation="o"), [FULL] * 3 + [GRANTED])
-    assert told and all(0 <= rank < MAX_ROOM_RANKS for rank in told)
+    assert reported_ranks and all(0 <= rank < MAX_ROOM_RANKS for rank in reported_ranks)
     assert harness.state.ranked_room("llm").waiting_by_rank() == {}
 
 
--- a/tests/systems/test_size_lanes.py
+++ b/tests/systems/test_size_lanes.py
@@ -59,7 +59,9 @@
             candidates = lane_candidates(
                 tracked_workers, is_large_request=large, share=share, rejected_ids=full
             )
-            fits = [b.worker.id for b in candidates if free[b.worker.id] >= tokens]
+            fits = [
+                tracked.worker.id for tracked in candidates if free[tracked.worker.id] >= tokens
+            ]
             if fits:
                 engine = rng.choice(fits)
                 free[engine] -= tokens
@@ -90,7 +92,8 @@
     blind = [served_shares(random.Random(seed), 16.0, has_lanes=False) for seed in seeds]
     lanes = [served_shares(random.Random(seed), 16.0, has_lanes=True) for seed in seeds]
     lost_large, lost_all = (
-        sum(b[n] - w[n] for b, w in zip(blind, lanes, strict=True)) / len(blind) for n in (0, 1)
+        sum(before[n] - after[n] for before, after in zip(blind, lanes, strict=True)) / len(blind)
+        for n in (0, 1)
     )
     assert lost_large < 0.03
     assert lost_all < 0.01
@@ -111,21 +114,23 @@
     other_order = list(reversed(tracked_workers))
     lanes = [
         {
-            b.worker.id
-            for b in lane_candidates(order, is_large_request=True, share=0.25, rejected_ids=())
+            tracked.worker.id
+            for tracked in lane_candidates(
+                order, is_large_request=True, share=0.25, rejected_ids=()
+            )
         }
         for order in (tracked_workers, other_order)
     ]
     assert lanes[0] == lanes[1]
     assert len(lanes[0]) == 5
     rest = lane_candidates(tracked_workers, is_large_request=False, share=0.25, rejected_ids=())
-    assert not lanes[0] & {b.worker.id for b in rest}
+    assert not lanes[0] & {tracked.worker.id for tracked in rest}
 
 
 def test_a_large_request_may_use_the_rest_once_the_lane_is_full():
     tracked_workers = engines()
     lane = lane_candidates(tracked_workers, is_large_request=True, share=0.25, rejected_ids=())
-    full = {b.worker.id for b in lane}
+    full = {tracked.worker.id for tracked in lane}
     more = lane_candidates(tracked_workers, is_large_request=True, share=0.25, rejected_ids=full)
     assert len(more) == 15
 
--- a/tests/systems/test_timeouts.py
+++ b/tests/systems/test_timeouts.py
@@ -56,10 +56,10 @@
 
 @pytest.mark.parametrize("usual_s", [0.005, 0.06, 0.15, 0.3])
 def test_an_engine_that_becomes_eight_times_slower_does_not_count_as_stuck(usual_s):
-    borne_s = 0.75 * max(2.0, 4.0 * ROUTE.target_s, 8.0 * ROUTE.target_gap_s)
+    max_resume_s = 0.75 * max(2.0, 4.0 * ROUTE.target_s, 8.0 * ROUTE.target_gap_s)
     found = timeouts.gap_timeout_s(ROUTE, time_left_s=60.0, usual_gap_s=usual_s)
-    assert found >= min(8.0 * usual_s, borne_s)
-    assert found <= max(borne_s, timeouts.gap_timeout_s(ROUTE, time_left_s=60.0))
+    assert found >= min(8.0 * usual_s, max_resume_s)
+    assert found <= max(max_resume_s, timeouts.gap_timeout_s(ROUTE, time_left_s=60.0))
 
 
 def test_the_gap_timeout_of_a_fast_engine_does_not_depend_on_its_usual_gap():
--- a/tests/systems/test_unordered_room.py
+++ b/tests/systems/test_unordered_room.py
@@ -5,7 +5,7 @@
 import pytest
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
-from room_harness import FULL, GRANTED, NO_WORKER, RoomHarness, ScriptedRoom, organisation
+from room_harness import FULL, GRANTED, NO_WORKER, RoomHarness, ScriptedReservation, organisation
 
 from croftchute.errors import Code, Ran
 from croftchute.forwarding.decision_log import Decision
@@ -25,7 +25,7 @@
 waits = st.sampled_from([0.0, 0.2, 0.6, 3.0, 30.0])
 
 
-class ReferenceRoom(ScriptedRoom):
+class ReferenceReservation(ScriptedReservation):
     """Reference implementation: the wait for room before the order by rank was added."""
 
     async def reserve(self):
@@ -33,7 +33,7 @@
         self.code = None
         self.detail = ""
         is_started = run.exchange.is_started
-        pause_s = timeouts.room_poll_interval_s(
+        poll_interval_s = timeouts.room_poll_interval_s(
             run.route,
             run.state.ways.returns,
             since_first_try_s=run.earlier_tries_s,
@@ -52,9 +52,9 @@
             may_come = run.full_workers or (is_started and self._does_rest_end_soon())
             if not may_come or not self._may_wait(asked_at, is_started=is_started):
                 return None
-            await asyncio.sleep(pause_s)
+            await asyncio.sleep(poll_interval_s)
             has_waited = True
-            run.state.room(run.service).note_waited(pause_s, run.now)
+            run.state.room(run.service).note_waited(poll_interval_s, run.now)
             run.full_workers.clear()
 
     def _may_wait(self, asked_at, *, is_started):
@@ -129,16 +129,16 @@
     """
     script = [*script, FULL]
     results = []
-    for room_class in (ReferenceRoom, ScriptedRoom):
+    for reservation_class in (ReferenceReservation, ScriptedReservation):
         with monkeypatch.context() as patch:
             harness = RoomHarness(patch, organisations=[organisation("o", priority=3)], **options)
             harness.state.room("llm").note_waited(waited_s, harness.now)
             run = harness.request(2, organisation="o", deadline_s=deadline_s)
             run.exchange.is_started = is_started
-            room, found = harness.reserve(run, script, room=room_class(run=run))
+            room, found = harness.reserve(run, script, room=reservation_class(run=run))
             result = outcome(harness, run, room, found)
             if found is None and not is_started:
-                if room_class is ReferenceRoom:
+                if reservation_class is ReferenceReservation:
                     result["refusal"] = reference_refusal(run, room)
                 else:
                     harness.refuse(run, room)
