--- a/src/croftchute/systems/fair_shares.py
+++ b/src/croftchute/systems/fair_shares.py
@@ -26,11 +26,12 @@
 of a datagram."""
 
 SCARCE_RATIO = 0.9
-"""Ratio of granted to asked tokens below which room counts as short. It is below 1 because some
+"""Ratio of granted to asked tokens below which room counts as scarce. It is below 1 because some
 requests have asked and will get room in a moment."""
 
 MAX_REPORTED_TOKENS = 1e9
-"""Largest use in tokens that a box accepts from a peer: the memory of a thousand engines."""
+"""Largest use in tokens that a box accepts from a peer: the memory of a thousand engines of a
+million tokens each."""
 
 SHARE_TOLERANCE = 0.1
 """Relative excess over its share that an organisation may have: about one request."""
@@ -62,10 +63,10 @@
         self._decayed(name, now).asked += tokens
 
     def note_granted(self, name: str, tokens: int, now: float, *, waited_s: float = 0.0) -> None:
-        """Count a grant, decayed as much as the request that was counted ``waited_s`` earlier.
+        """Count a grant to a request that has waited for ``waited_s``.
 
-        Otherwise an organisation whose requests all waited and got room would have more granted
-        than asked.
+        The tokens are decayed like those of the request, counted before the wait. Otherwise an
+        organisation whose requests all waited and got room would have more granted than asked.
         """
         self._decayed(name, now).granted += tokens * 0.5 ** (max(0.0, waited_s) / HALF_LIFE_S)
 
@@ -89,7 +90,7 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class ShareVerdict:
+class ShareUsage:
     """Whether an organisation is over its share.
 
     ``share`` and ``used`` are its fair and its actual fraction of all granted tokens.
@@ -101,10 +102,10 @@
     used: float = 0.0
 
 
-def share_verdict(
+def share_usage(
     name: str, uses: Iterable[OrganisationUseNotice], weights_by_name: Mapping[str, float]
-) -> ShareVerdict:
-    """Return the verdict on one organisation from the use seen by this box and its peers.
+) -> ShareUsage:
+    """Return how one organisation compares with its share, by the use of this box and its peers.
 
     ``weights_by_name`` holds the limits of organisations. An organisation without a limit has the
     mean weight of the others.
@@ -113,23 +114,23 @@
     ...     OrganisationUseNotice(name="flood", asked_tokens=90.0, granted_tokens=40.0),
     ...     OrganisationUseNotice(name="quiet", asked_tokens=20.0, granted_tokens=10.0),
     ... ]
-    >>> verdict = share_verdict("flood", uses, {"flood": 1.0, "quiet": 1.0})
-    >>> verdict.is_over, round(verdict.share, 2), round(verdict.used, 2)
+    >>> usage = share_usage("flood", uses, {"flood": 1.0, "quiet": 1.0})
+    >>> usage.is_over, round(usage.share, 2), round(usage.used, 2)
     (True, 0.6, 0.8)
-    >>> share_verdict("quiet", uses, {}).is_over
+    >>> share_usage("quiet", uses, {}).is_over
     False
     """
-    return share_verdicts(uses, weights_by_name).get(name, ShareVerdict())
+    return share_usage_by_name(uses, weights_by_name).get(name, ShareUsage())
 
 
-def share_verdicts(
+def share_usage_by_name(
     uses: Iterable[OrganisationUseNotice], weights_by_name: Mapping[str, float]
-) -> dict[str, ShareVerdict]:
-    """Return the verdicts on all organisations; those left out are within their shares.
+) -> dict[str, ShareUsage]:
+    """Return how all organisations compare with their shares.
 
-    The result is empty while room is not short.
+    The result is empty while room is not scarce.
 
-    >>> share_verdicts([], {})
+    >>> share_usage_by_name([], {})
     {}
     """
     demand_by_name, granted_by_name = _totals(uses)
@@ -138,7 +139,7 @@
         return {}
     shares = fair_shares(demand_by_name, weights_by_name, granted)
     return {
-        name: ShareVerdict(
+        name: ShareUsage(
             is_over=granted_by_name[name] > (1.0 + SHARE_TOLERANCE) * share,
             is_scarce=True,
             share=share / granted,
--- a/src/croftchute/systems/held_bytes.py
+++ b/src/croftchute/systems/held_bytes.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass
 
 BYTES_PER_MB = 1_000_000
-"""Bytes in a megabyte of the settings: the smaller of the two usual definitions."""
+"""Bytes in a megabyte of the settings: the decimal one, which is smaller than 2**20."""
 
 HELD_MEMORY_SHARE = 0.25
 """Share of a box's memory for held bytes: on the smallest boxes the program itself needs most of
@@ -30,12 +30,12 @@
     stream_bytes: int = MAX_STREAM_BYTES
 
     @classmethod
-    def of_memory(cls, memory_mb: float) -> HeldBounds | None:
+    def from_memory_mb(cls, memory_mb: float) -> HeldBounds | None:
         """Return the bounds of a box with ``memory_mb`` MB, or None if the value is unusable.
 
-        >>> HeldBounds.of_memory(136.0)
+        >>> HeldBounds.from_memory_mb(136.0)
         HeldBounds(box_bytes=34000000, stream_bytes=262144)
-        >>> HeldBounds.of_memory(0.0) is None
+        >>> HeldBounds.from_memory_mb(0.0) is None
         True
         """
         if not math.isfinite(memory_mb) or memory_mb <= 0.0:
@@ -63,14 +63,16 @@
 
 @dataclass(kw_only=True, slots=True)
 class _StreamUsage:
-    """Bytes held for one answer, and since when it has held any."""
+    """Bytes held for one answer, and the time since which it has had any without a break."""
 
     size: int
-    since: float
+    held_since: float
 
 
 class HeldBytes:
-    """Count of the bytes held per answer, by the answer's number, and in total.
+    """Count of the bytes held per answer and in total.
+
+    ``stream`` is the number of an answer in all methods.
 
     Without bounds no answer is ended.
     """
@@ -93,14 +95,14 @@
             return MAX_STREAM_BYTES
         return min(bounds.stream_bytes, bounds.box_bytes // max(1, self.open_streams))
 
-    def held(self, stream: int) -> int:
+    def size(self, stream: int) -> int:
         """Return the bytes held for an answer; 0 if it is not open."""
         usage = self._by_stream.get(stream)
         return usage.size if usage is not None else 0
 
     def open(self, stream: int, now: float) -> None:
         """Start counting an answer, with nothing held for it yet."""
-        self._by_stream.setdefault(stream, _StreamUsage(size=0, since=now))
+        self._by_stream.setdefault(stream, _StreamUsage(size=0, held_since=now))
 
     def close(self, stream: int) -> None:
         """Stop counting an answer that has ended or whose caller has left."""
@@ -114,7 +116,7 @@
         if usage is None or size < 0:
             return
         if usage.size == 0:
-            usage.since = now
+            usage.held_since = now
         self.total += size - usage.size
         usage.size = size
 
@@ -140,7 +142,7 @@
             box_bound=bounds.box_bytes,
             stream_bound=self.stream_bound,
             open_streams=self.open_streams,
-            age_s=now - usage.since,
+            age_s=now - usage.held_since,
         )
         self.close(stream)
         return ended
--- a/tests/systems/test_ranked_room_wait.py
+++ b/tests/systems/test_ranked_room_wait.py
@@ -1,9 +1,17 @@
-"""One request in the order by rank: what it counts, what it releases, and how it is refused."""
+"""Wait of one request under the order by rank: its counts, their release, and its refusal."""
 
 import asyncio
 
 import pytest
-from room_harness import FULL, GRANTED, NO_WORKER, RoomHarness, ScriptedRoom, organisation, table
+from room_harness import (
+    FULL,
+    GRANTED,
+    NO_WORKER,
+    RoomHarness,
+    ScriptedReservation,
+    organisation,
+    table,
+)
 
 from croftchute.errors import Code
 from croftchute.forwarding.decision_log import Decision
@@ -59,7 +67,7 @@
     """
     harness = RoomHarness(monkeypatch, organisations=[organisation("o")])
     run = harness.request(0, organisation="o")
-    room = ScriptedRoom(run=run)
+    room = ScriptedReservation(run=run)
     for _ in range(3):
         harness.reserve(run, [GRANTED], room=room)
     use = use_of(harness, "o")
@@ -183,7 +191,7 @@
     harness = RoomHarness(monkeypatch)
     add_urgent_wait(harness, waited_s=0.3)
     run = harness.request(1, prompt=SHORT_PROMPT_TOKENS)
-    room = ScriptedRoom(run=run)
+    room = ScriptedReservation(run=run)
     room.has_worker = False
     _, found = harness.reserve(run, [NO_WORKER], room=room)
     assert found is None and harness.sleeps == [] and not run.is_held_back
@@ -245,17 +253,17 @@
     harness = RoomHarness(
         monkeypatch, priorities=(0, 700), organisations=[organisation("o", priority=900)]
     )
-    told = []
+    reported_ranks = []
 
     def end_order():
         harness.state.table = table(
             [700], version=2, organisations=[organisation("o", priority=900)]
         )
-        told.extend(harness.state.ranked_room("llm").waiting_by_rank())
+        reported_ranks.extend(harness.state.ranked_room("llm").waiting_by_rank())
 
     harness.on_sleep = end_order
     harness.reserve(harness.request(700, organisation="o"), [FULL] * 3 + [GRANTED])
-    assert told and all(0 <= rank < MAX_ROOM_RANKS for rank in told)
+    assert reported_ranks and all(0 <= rank < MAX_ROOM_RANKS for rank in reported_ranks)
     assert harness.state.ranked_room("llm").waiting_by_rank() == {}
 
 
@@ -281,10 +289,10 @@
     other = organisation("b", rate_per_s=1_000.0, unit=LimitUnit.TOKENS)
     harness = RoomHarness(monkeypatch, organisations=[small, other])
     note_use(harness, a=(90_000, 30_000), b=(90_000, 20_000))
-    assert harness.state.share_verdict("llm", "a").is_over
+    assert harness.state.share_usage("llm", "a").is_over
     harness.state.table = table((0, 1, 2), version=2, organisations=[large, other])
     harness.now += 0.25
-    assert not harness.state.share_verdict("llm", "a").is_over
+    assert not harness.state.share_usage("llm", "a").is_over
 
 
 def note_use(harness, **asked_and_granted):
@@ -306,18 +314,18 @@
     demand = harness.state.demand("llm")
     demand.note_ask(harness.now, prompt_tokens=5_400, output_tokens=600)
     note_use(harness, **{"by-request": (90_000, 25_000), "by-token": (90_000, 25_000)})
-    verdicts = [harness.state.share_verdict("llm", name) for name in ("by-request", "by-token")]
-    assert [verdict.share for verdict in verdicts] == pytest.approx([0.5, 0.5])
-    assert not any(verdict.is_over for verdict in verdicts)
+    usages = [harness.state.share_usage("llm", name) for name in ("by-request", "by-token")]
+    assert [usage.share for usage in usages] == pytest.approx([0.5, 0.5])
+    assert not any(usage.is_over for usage in usages)
 
 
-def test_share_verdicts_are_cached_per_service(monkeypatch):
+def test_share_usage_is_cached_per_service(monkeypatch):
     """Guards against a cache that grows with the number of organisations, and against summing up
     all notices for each of them, which took 0.9 ms four times a second for each.
     """
     harness = RoomHarness(monkeypatch, organisations=[organisation("o0")])
     for number in range(100):
-        harness.state.share_verdict("llm", f"o{number}")
+        harness.state.share_usage("llm", f"o{number}")
     assert list(harness.state._shares_by_service) == ["llm"]
 
 
--- a/tests/systems/test_room_order.py
+++ b/tests/systems/test_room_order.py
@@ -36,9 +36,9 @@
 RETURN_MODES = (ReturnMode.IN_TIME_FIRST, ReturnMode.RETURNED_FIRST)
 
 
-def poll_interval(mode, since_first_try_s, *, is_begun=False):
+def poll_interval(mode, since_first_try_s, *, is_started=False):
     return timeouts.room_poll_interval_s(
-        ROUTE, mode, since_first_try_s=since_first_try_s, is_begun=is_begun
+        ROUTE, mode, since_first_try_s=since_first_try_s, is_started=is_started
     )
 
 
@@ -54,7 +54,7 @@
 
 def test_interrupted_streams_poll_most_often_in_both_modes():
     for mode in RETURN_MODES:
-        assert poll_interval(mode, LATE_RETRY_S, is_begun=True) <= min(
+        assert poll_interval(mode, LATE_RETRY_S, is_started=True) <= min(
             poll_interval(mode, FIRST_TRY_S), poll_interval(mode, LATE_RETRY_S)
         )
 
@@ -86,7 +86,8 @@
 
 @pytest.mark.parametrize("boxes", [8, 61, 360])
 def test_urgent_ranks_are_served_in_a_burst_of_the_least_urgent_rank(boxes):
-    """Without an order the rank with the longest target fares best: whoever polls next gets room.
+    """Without an order, room goes to whoever polls next, and the rank with the longest target,
+    which polls for longest, is served best.
 
     The two urgent ranks ask for 0.6 of the room. At least four of five requests of the first and
     two of three of the second have to get it.
@@ -135,7 +136,7 @@
     )
 )
 def test_no_rank_has_a_shorter_mean_wait_than_a_more_urgent_one(rows):
-    view = RoomView.of(
+    view = RoomView.from_notices(
         RankRoomNotice(rank=rank, waited_s=waited, grants=grants)
         for rank, (waited, grants) in rows.items()
     )
@@ -168,7 +169,7 @@
     for waited_s, grants in ((invalid, 1.0), (1.0, invalid), (invalid, invalid)):
         for rank in (0, 1, 2):
             notice = RankRoomNotice(rank=rank, waited_s=waited_s, grants=grants, waiting=1)
-            assert RoomView.of([*known, notice]) == RoomView.of(known)
+            assert RoomView.from_notices([*known, notice]) == RoomView.from_notices(known)
 
 
 @pytest.mark.parametrize("rank, waiting", [(MAX_ROOM_RANKS, 1), (255, 1), (-1, 1), (1, -5)])
@@ -176,7 +177,7 @@
     """Guards against state that grows with what peers report, and against negative counts."""
     known = [RankRoomNotice(rank=1, waited_s=3.0, grants=2.0, waiting=1)]
     notice = RankRoomNotice(rank=rank, waited_s=9.0, grants=0.0, waiting=waiting)
-    assert RoomView.of([*known, notice]) == RoomView.of(known)
+    assert RoomView.from_notices([*known, notice]) == RoomView.from_notices(known)
 
 
 @given(st.integers(-1_000, 1_000), st.integers(1, 10), st.booleans(), st.booleans())
