--- a/src/croftchute/systems/box.py
+++ b/src/croftchute/systems/box.py
@@ -40,7 +40,7 @@
 )
 from croftchute.systems.cancels import CancelTracker
 from croftchute.systems.dedupe import Deduplicator
-from croftchute.systems.dedupe_map import initial_rows, repaired_rows
+from croftchute.systems.dedupe_map import initial_rows, repair_rows
 from croftchute.systems.entry import RequestEntry
 from croftchute.systems.membership import Membership
 from croftchute.systems.owner import PolicyOrderer, ShardOwner
@@ -88,7 +88,7 @@
         self.topology = Topology(revision=0, hall=own.hall)
         self.membership = Membership(own=own, suspect_after_s=suspect_after_s)
         self.cancels = CancelTracker()
-        self.chooser = ShardChooser(rng=rng, is_reachable=self._shard_reachable)
+        self.chooser = ShardChooser(rng=rng, is_reachable=self._is_shard_reachable)
         self.owner = ShardOwner(box=own.id, cancels=self.cancels, topology=self.topology)
         self.entry = RequestEntry(
             box=own.id,
@@ -349,20 +349,20 @@
             ids += rank_nodes("relay", live_ids or hall_ids)[:RELAYS_PER_HALL]
         return ids
 
-    def apply_range_map(self, known: RangeMap, now: float) -> list[Command]:
+    def apply_range_map(self, range_map: RangeMap, now: float) -> list[Command]:
         """Apply a range map from the store or a peer."""
-        return self._deliver_to_self(self.dedupe.apply_map(known, now), now)
+        return self._deliver_to_self(self.dedupe.apply_map(range_map, now), now)
 
     def _repair_ranges(self, now: float) -> list[Command]:
         if now < self._next_repair_at:
             return []
         self._next_repair_at = now + REPAIR_INTERVAL_S
-        known = self.dedupe.map
-        if not known.rows:
+        range_map = self.dedupe.map
+        if not range_map.rows:
             rows = initial_rows(self._members_by_hall()) if self.is_relay else ()
         else:
-            rows = repaired_rows(
-                known,
+            rows = repair_rows(
+                range_map,
                 own=self.dedupe.own,
                 holds_records=self.dedupe.holds_records,
                 is_live=self._is_live_incarnation,
@@ -370,9 +370,9 @@
                 replacements=self._replacement_members(),
                 now=now,
             )
-        if rows == known.rows:
+        if rows == range_map.rows:
             return []
-        return [ProposeRangeMap(version=known.version, rows=rows)]
+        return [ProposeRangeMap(version=range_map.version, rows=rows)]
 
     def _is_live_incarnation(self, member: BoxIncarnation) -> bool:
         if member == self.dedupe.own:
@@ -403,5 +403,5 @@
                 commands.append(PollEngine(engine_id=engine_id))
         return commands
 
-    def _shard_reachable(self, shard: str) -> bool:
+    def _is_shard_reachable(self, shard: str) -> bool:
         return self.membership.is_live(self.owner_of(shard))
--- a/src/croftchute/systems/dedupe.py
+++ b/src/croftchute/systems/dedupe.py
@@ -61,7 +61,7 @@
         self._next_sync_at = 0.0
         self._next_sweep_at = 0.0
         self._ended_incarnations: set[BoxIncarnation] = set()
-        self._listed: frozenset[str] = frozenset()
+        self._listed_boxes: frozenset[str] = frozenset()
 
     def __repr__(self) -> str:
         held = len(self.records_by_key)
@@ -100,23 +100,23 @@
         """Apply the platform's list of boxes; a box that has left the list has ended."""
         for row in self.map.rows:
             for member in (row.first, row.second):
-                if member.box in self._listed and member.box not in boxes:
+                if member.box in self._listed_boxes and member.box not in boxes:
                     self._ended_incarnations.add(member)
-        self._listed = boxes
+        self._listed_boxes = boxes
 
-    def apply_map(self, known: RangeMap, now: float) -> list[Command]:
+    def apply_map(self, range_map: RangeMap, now: float) -> list[Command]:
         """Apply a newer map; ranges that this box gains are synchronised before use."""
-        if known.version <= self.map.version:
+        if range_map.version <= self.map.version:
             return []
-        self.map = known
+        self.map = range_map
         before = self._rows_by_index
-        self._rows_by_index = {row.index: row for row in known.rows}
-        for row in known.rows:
+        self._rows_by_index = {row.index: row for row in range_map.rows}
+        for row in range_map.rows:
             earlier = before.get(row.index)
             if earlier is None or earlier.epoch != row.epoch:
                 self._start_epoch(row, earlier)
         self._next_sync_at = now
-        detail = f"version {known.version}, in {len(self.own_ranges)} pairs"
+        detail = f"version {range_map.version}, in {len(self.own_ranges)} pairs"
         event = Event(kind=Kind.DEDUPE_EPOCH, detail=detail)
         return [EmitEvent(event=event), *self.tick(now)]
 
@@ -130,9 +130,9 @@
         """
         row = self._rows_by_index.get(range_of(key))
         if key_created_at is not None and key_created_at > now + MAX_CLOCK_SKEW_S:
-            return [_decide(token, Decision.REFUSE, Code.KEY_INVALID)]
+            return [_build_decision(token, Decision.REFUSE, Code.KEY_INVALID)]
         if row is None:
-            return [_decide(token, Decision.REFUSE, Code.DEDUPE_UNAVAILABLE)]
+            return [_build_decision(token, Decision.REFUSE, Code.DEDUPE_UNAVAILABLE)]
         if key_created_at is not None and key_created_at < max(
             row.floor, now - RECORD_TTL_S + MAX_CLOCK_SKEW_S
         ):
@@ -153,15 +153,15 @@
         """Handle any message of this system."""
         match body:
             case Begin():
-                return self._begin(sender, body, now)
+                return self._begin_received(sender, body, now)
             case Mirror():
-                return self._mirror(sender, body, now)
+                return self._mirror_received(sender, body, now)
             case Mirrored():
-                return self._mirrored(body, now)
+                return self._mirrored_received(body, now)
             case Verdict():
-                return self._verdict(body, now)
+                return self._verdict_received(body, now)
             case Finish():
-                return self._finish(sender, body, now)
+                return self._finish_received(sender, body, now)
         return []
 
     def tick(self, now: float) -> list[Command]:
@@ -186,7 +186,7 @@
         )
         return [SendPeer(box=row.first.box, body=body)]
 
-    def _begin(self, sender: str, body: Begin, now: float) -> list[Command]:
+    def _begin_received(self, sender: str, body: Begin, now: float) -> list[Command]:
         row = self._rows_by_index.get(range_of(body.key))
         if row is None or row.first != self.own or abs(body.epoch) != row.epoch:
             return []
@@ -196,7 +196,7 @@
         if record is not None:
             return [SendPeer(box=sender, body=self._verdict_from_record(record, body, now))]
         if body.epoch < 0:
-            return [SendPeer(box=sender, body=_refusal(body, Code.OUTCOME_UNKNOWN))]
+            return [SendPeer(box=sender, body=_build_refusal(body, Code.OUTCOME_UNKNOWN))]
         self._sender_by_message[body.token, Phase.GRANTED] = sender
         mirror = Mirror(key=body.key, token=body.token, epoch=row.epoch, phase=Phase.GRANTED)
         return [SendPeer(box=row.second.box, body=mirror)]
@@ -213,11 +213,11 @@
                 status=record.status,
             )
         if record.phase is Phase.DELIVERED:
-            return _refusal(body, Code.ALREADY_ANSWERED)
+            return _build_refusal(body, Code.ALREADY_ANSWERED)
         running = record.phase is Phase.GRANTED and now - record.at < MAX_RUNNING_S
-        return _refusal(body, Code.IN_PROGRESS if running else Code.OUTCOME_UNKNOWN)
+        return _build_refusal(body, Code.IN_PROGRESS if running else Code.OUTCOME_UNKNOWN)
 
-    def _mirror(self, sender: str, body: Mirror, now: float) -> list[Command]:
+    def _mirror_received(self, sender: str, body: Mirror, now: float) -> list[Command]:
         index = int(body.key) if body.phase == Phase.SYNCED else range_of(body.key)
         row = self._rows_by_index.get(index)
         accepted = row is not None and row.second == self.own and row.epoch == body.epoch
@@ -254,7 +254,7 @@
         )
         return True
 
-    def _mirrored(self, body: Mirrored, now: float) -> list[Command]:
+    def _mirrored_received(self, body: Mirrored, now: float) -> list[Command]:
         index = int(body.key) if body.phase == Phase.SYNCED else range_of(body.key)
         row = self._rows_by_index.get(index)
         if row is None or row.first != self.own or row.epoch != body.epoch or not body.accepted:
@@ -282,7 +282,7 @@
         event = Event(kind=Kind.CALL_ALLOWED, request_id=body.token, detail=f"epoch {body.epoch}")
         return [EmitEvent(event=event), SendPeer(box=sender_box, body=verdict)]
 
-    def _finish(self, sender: str, body: Finish, now: float) -> list[Command]:
+    def _finish_received(self, sender: str, body: Finish, now: float) -> list[Command]:
         row = self._rows_by_index.get(range_of(body.key))
         if row is None or row.first != self.own or row.epoch != body.epoch:
             return []
@@ -299,7 +299,7 @@
         )
         return [SendPeer(box=row.second.box, body=mirror)]
 
-    def _verdict(self, body: Verdict, now: float) -> list[Command]:
+    def _verdict_received(self, body: Verdict, now: float) -> list[Command]:
         if body.decision == Decision.NOTED:
             pending = self._pending_by_token.pop(f"{body.token}/{body.code}", None)
         else:
@@ -343,7 +343,7 @@
         finish = Finish(
             key=pending.key, token=token, epoch=pending.body.epoch, phase=Phase.ABANDONED
         )
-        decide = _decide(token, Decision.REFUSE, Code.DEDUPE_UNAVAILABLE)
+        decide = _build_decision(token, Decision.REFUSE, Code.DEDUPE_UNAVAILABLE)
         return [decide, *self.finish_call(finish, now)]
 
     def _start_epoch(self, row: RangeRow, earlier: RangeRow | None) -> None:
@@ -403,9 +403,9 @@
     return (Phase.GRANTED, Phase.UNKNOWN, Phase.DONE, Phase.DELIVERED).index(phase)
 
 
-def _refusal(body: Begin, code: Code) -> Verdict:
+def _build_refusal(body: Begin, code: Code) -> Verdict:
     return Verdict(key=body.key, token=body.token, decision=Decision.REFUSE, code=code)
 
 
-def _decide(token: str, decision: Decision, code: Code) -> Command:
+def _build_decision(token: str, decision: Decision, code: Code) -> Command:
     return DecideCall(token=token, decision=decision, code=code, answer=b"", status=0)
--- a/src/croftchute/systems/dedupe_map.py
+++ b/src/croftchute/systems/dedupe_map.py
@@ -55,8 +55,8 @@
     )
 
 
-def repaired_rows(
-    known: RangeMap,
+def repair_rows(
+    range_map: RangeMap,
     *,
     own: BoxIncarnation,
     holds_records: Callable[[int], bool],
@@ -67,7 +67,7 @@
 ) -> tuple[RangeRow, ...]:
     """Return all rows with the changes that this box may propose, or unchanged."""
     return tuple(
-        _repaired(
+        _repair_row(
             row,
             own=own,
             holds_records=holds_records,
@@ -76,11 +76,11 @@
             replacements=replacements,
             now=now,
         )
-        for row in known.rows
+        for row in range_map.rows
     )
 
 
-def _repaired(
+def _repair_row(
     row: RangeRow,
     *,
     own: BoxIncarnation,
--- a/tests/systems/test_dedupe.py
+++ b/tests/systems/test_dedupe.py
@@ -11,7 +11,7 @@
 from croftchute.commands import DecideCall, SendPeer
 from croftchute.peers.messages import Finish
 from croftchute.systems.dedupe import Deduplicator
-from croftchute.systems.dedupe_map import MAX_CLOCK_SKEW_S, initial_rows, repaired_rows
+from croftchute.systems.dedupe_map import MAX_CLOCK_SKEW_S, initial_rows, repair_rows
 from croftchute.tables.dedupe import EMPTY_MAP, BoxIncarnation, Decision, Phase, RangeMap
 from croftchute.tables.rows import changed
 
@@ -20,12 +20,12 @@
 STEPS = 220
 
 
-class RandomWalk:
+class RandomSchedule:
     """A store, four boxes and the messages in flight, stepped at random."""
 
-    def __init__(self, seed, kind=Deduplicator):
+    def __init__(self, seed, deduplicator_class=Deduplicator):
         self.rng = random.Random(seed)
-        self.kind = kind
+        self.deduplicator_class = deduplicator_class
         self.now = 1000.0
         self.store = EMPTY_MAP
         self.in_flight = []
@@ -33,7 +33,7 @@
         self.created_at_by_key = {}
         self.tokens = 0
         self.answers = 0
-        self.boxes = {box: kind(box=box, incarnation=1) for box in BOXES}
+        self.boxes = {box: deduplicator_class(box=box, incarnation=1) for box in BOXES}
         members = [BoxIncarnation(box=box, incarnation=1) for box in BOXES]
         self.write(EMPTY_MAP.version, initial_rows({"hall": members}))
         for box in BOXES:
@@ -91,16 +91,16 @@
 
     def restart(self, box):
         incarnation = self.boxes[box].own.incarnation + 1
-        self.boxes[box] = self.kind(box=box, incarnation=incarnation)
+        self.boxes[box] = self.deduplicator_class(box=box, incarnation=incarnation)
 
-    def hear_of_restart(self, box):
+    def learn_of_restart(self, box):
         other = self.rng.choice(BOXES)
         self.boxes[box].box_restarted(other, self.boxes[other].own.incarnation)
 
     def repair(self, box):
         dedupe = self.boxes[box]
         suspected = {name for name in BOXES if self.rng.random() < 0.4}
-        rows = repaired_rows(
+        rows = repair_rows(
             dedupe.map,
             own=dedupe.own,
             holds_records=dedupe.holds_records,
@@ -119,7 +119,7 @@
                 self.tick,
                 self.apply_stored_map,
                 self.repair,
-                self.hear_of_restart,
+                self.learn_of_restart,
                 self.restart,
             ),
             (6, 8, 3, 0.6, 2, 0.25),
@@ -129,11 +129,11 @@
             self.deliver()
 
 
-def max_runs_and_total(seed, kind=Deduplicator):
-    walk = RandomWalk(seed, kind)
+def max_runs_and_total(seed, deduplicator_class=Deduplicator):
+    schedule = RandomSchedule(seed, deduplicator_class)
     for _ in range(STEPS):
-        walk.step()
-    return max(walk.runs_by_key.values(), default=0), sum(walk.runs_by_key.values())
+        schedule.step()
+    return max(schedule.runs_by_key.values(), default=0), sum(schedule.runs_by_key.values())
 
 
 def test_no_key_runs_twice_under_random_schedules():
@@ -145,12 +145,12 @@
 class GrantsWithoutSecond(Deduplicator):
     """Faulty: allows a call before the second box has stored its record."""
 
-    def _begin(self, sender, body, now):
+    def _begin_received(self, sender, body, now):
         self._sender_by_message[body.token, Phase.GRANTED] = sender
         token_and_key = body.token, body.key
         if body.key in self.records_by_key:
-            return super()._begin(sender, body, now)
-        commands = super()._begin(sender, body, now)
+            return super()._begin_received(sender, body, now)
+        commands = super()._begin_received(sender, body, now)
         if not commands:
             return commands
 
@@ -172,29 +172,31 @@
 class AcceptsAnyEpoch(Deduplicator):
     """Faulty: the second box accepts any epoch."""
 
-    def _mirror(self, sender, body, now):
+    def _mirror_received(self, sender, body, now):
         row = self._rows_by_index.get(0)
         own = [r for r in self.map.rows if self.own in (r.first, r.second)]
         epoch = max((r.epoch for r in own), default=row.epoch if row else 0)
-        commands = super()._mirror(sender, body, now)
+        commands = super()._mirror_received(sender, body, now)
         return [changed(c, body=replace(c.body, accepted=True)) if epoch else c for c in commands]
 
 
-@pytest.mark.parametrize("kind", [GrantsWithoutSecond, IgnoresFloor, AcceptsAnyEpoch])
-def test_a_faulty_variant_runs_a_key_twice(kind):
-    assert any(max_runs_and_total(seed, kind)[0] > 1 for seed in range(400))
+@pytest.mark.parametrize("deduplicator_class", [GrantsWithoutSecond, IgnoresFloor, AcceptsAnyEpoch])
+def test_a_faulty_variant_runs_a_key_twice(deduplicator_class):
+    assert any(max_runs_and_total(seed, deduplicator_class)[0] > 1 for seed in range(400))
 
 
 def test_a_key_created_in_the_future_is_refused():
-    walk = RandomWalk(1)
-    (decided,) = walk.boxes["a"].begin_call("k", "t", walk.now + MAX_CLOCK_SKEW_S + 1, walk.now)
+    schedule = RandomSchedule(1)
+    (decided,) = schedule.boxes["a"].begin_call(
+        "k", "t", schedule.now + MAX_CLOCK_SKEW_S + 1, schedule.now
+    )
     assert (decided.decision, decided.code) == (Decision.REFUSE, "key_invalid")
 
 
 def test_a_call_is_refused_soon_if_the_second_box_does_not_answer():
-    walk = RandomWalk(2)
-    walk.in_flight.clear()
-    walk.boxes["a"].begin_call("key-x", "t9", walk.now, walk.now)
-    walk.now += 1.2
-    decided = [c for c in walk.boxes["a"].tick(walk.now) if isinstance(c, DecideCall)]
+    schedule = RandomSchedule(2)
+    schedule.in_flight.clear()
+    schedule.boxes["a"].begin_call("key-x", "t9", schedule.now, schedule.now)
+    schedule.now += 1.2
+    decided = [c for c in schedule.boxes["a"].tick(schedule.now) if isinstance(c, DecideCall)]
     assert [c.code for c in decided] == ["dedupe_unavailable"]
--- a/tests/systems/test_dedupe_naive.py
+++ b/tests/systems/test_dedupe_naive.py
@@ -69,17 +69,17 @@
 @settings(max_examples=80)
 @given(STEPS)
 def test_verdicts_match_a_dictionary(steps):
-    connected, naive = ConnectedBoxes(), DictDeduplicator()
+    connected, reference = ConnectedBoxes(), DictDeduplicator()
     for number, (box, key, end, delivers) in enumerate(steps):
         token = f"t{number}"
         (decided,) = connected.handle_commands(
             box, connected.boxes[box].begin_call(key, token, 2.0, 2.0)
         )
-        assert (decided.decision, decided.code) == naive.begin_call(key)
+        assert (decided.decision, decided.code) == reference.begin_call(key)
         if decided.decision != Decision.RUN or end is None:
             continue
         phases = [end, Phase.DELIVERED] if end is Phase.DONE and delivers else [end]
         for phase in phases:
             finish = Finish(key=key, token=token, epoch=0, phase=phase)
             connected.handle_commands(box, connected.boxes[box].finish_call(finish, 2.0))
-            naive.finish_call(key, phase)
+            reference.finish_call(key, phase)
