--- a/src/croftchute/systems/placement.py
+++ b/src/croftchute/systems/placement.py
@@ -44,7 +44,7 @@
     service_s: float
 
 
-class PrefillSlot(Row, frozen=True, kw_only=True):
+class PrefillWindow(Row, frozen=True, kw_only=True):
     """A time slot on a prefill engine."""
 
     engine_id: str
@@ -65,20 +65,20 @@
     if load.running >= engine.slots:
         return False
     sigmas = MIN_SIGMAS + MAX_EXTRA_SIGMAS * waste_aversion
-    spread = sigmas * sqrt(load.kv_variance + needs.output_variance)
-    committed = load.kv_committed + kv_tokens_to_commit(needs) + spread
+    margin = sigmas * sqrt(load.kv_variance + needs.output_variance)
+    committed = load.kv_committed + kv_tokens_to_commit(needs) + margin
     return committed <= engine.kv_tokens * MAX_KV_FILL
 
 
-def prefill_slots(
+def prefill_windows(
     engines: Iterable[EngineConfig],
     loads: Mapping[str, EngineLoad],
     needs: PlacementNeeds,
     *,
     now: float,
-) -> list[PrefillSlot]:
+) -> list[PrefillWindow]:
     """Return slots on the usable prefill engines, earliest end first, those to avoid last."""
-    slots = []
+    windows = []
     for engine in engines:
         load = loads[engine.id]
         if not engine.prefills or not load.accepts_work(now):
@@ -86,17 +86,17 @@
         uncached = max(1, round(needs.prompt_tokens - needs.cached_by_engine.get(engine.id, 0.0)))
         start = max(now, load.prefill_free_at)
         end = start + uncached / engine.prefill_tokens_per_s
-        slots.append(
-            PrefillSlot(engine_id=engine.id, uncached_tokens=uncached, start_at=start, end_at=end)
+        windows.append(
+            PrefillWindow(engine_id=engine.id, uncached_tokens=uncached, start_at=start, end_at=end)
         )
-    slots.sort(
-        key=lambda slot: (
-            _is_last_resort(loads[slot.engine_id], needs, now),
-            slot.end_at,
-            slot.engine_id,
+    windows.sort(
+        key=lambda window: (
+            _is_last_resort(loads[window.engine_id], needs, now),
+            window.end_at,
+            window.engine_id,
         )
     )
-    return slots
+    return windows
 
 
 def decode_candidates(
@@ -128,24 +128,29 @@
 
 
 def place_on_decode(
-    slot: PrefillSlot, engine: EngineConfig, load: EngineLoad, needs: PlacementNeeds, *, now: float
+    window: PrefillWindow,
+    engine: EngineConfig,
+    load: EngineLoad,
+    needs: PlacementNeeds,
+    *,
+    now: float,
 ) -> Placement | None:
     """Place a prefill slot's result on a decode engine; None if the result would expire."""
     transfer = 0.0
-    if slot.engine_id != engine.id:
+    if window.engine_id != engine.id:
         transfer = needs.prompt_tokens * needs.kv_bytes_per_token / engine.link_bytes_per_s
-    transfer_end = max(slot.end_at, load.ingress_free_at, now) + transfer
-    if transfer_end - slot.end_at > needs.result_ttl_s * MAX_RESULT_TTL_SHARE:
+    transfer_end = max(window.end_at, load.ingress_free_at, now) + transfer
+    if transfer_end - window.end_at > needs.result_ttl_s * MAX_RESULT_TTL_SHARE:
         return None
     return Placement(
-        prefill_id=slot.engine_id,
+        prefill_id=window.engine_id,
         decode_id=engine.id,
-        uncached_tokens=slot.uncached_tokens,
-        prefill_start_at=slot.start_at,
-        prefill_end_at=slot.end_at,
+        uncached_tokens=window.uncached_tokens,
+        prefill_start_at=window.start_at,
+        prefill_end_at=window.end_at,
         transfer_end_at=transfer_end,
         first_token_at=transfer_end + engine.step_s,
-        service_s=slot.end_at - slot.start_at + transfer + engine.step_s,
+        service_s=window.end_at - window.start_at + transfer + engine.step_s,
     )
 
 
@@ -161,13 +166,13 @@
 
     Among equals the one with the least loaded decode engine comes first.
     """
-    slots = prefill_slots(engines, loads, needs, now=now)
-    if not slots:
+    windows = prefill_windows(engines, loads, needs, now=now)
+    if not windows:
         return []
     candidates = decode_candidates(engines, loads, needs, now=now, waste_aversion=waste_aversion)
     found = []
     for engine in candidates:
-        placement = place_on_decode(slots[0], engine, loads[engine.id], needs, now=now)
+        placement = place_on_decode(windows[0], engine, loads[engine.id], needs, now=now)
         if placement is not None:
             found.append(placement)
     found.sort(key=lambda placement: placement.first_token_at)
--- a/src/croftchute/systems/prediction.py
+++ b/src/croftchute/systems/prediction.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass, replace
 
-LEARNING_RATE = 0.02
+SMOOTHING_FACTOR = 0.02
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
@@ -17,8 +17,8 @@
     def updated(self, tokens: int) -> OutputLengthForecast:
         """Return the forecast after one more output of ``tokens`` tokens."""
         error = tokens - self.mean
-        mean = self.mean + LEARNING_RATE * error
-        variance = (1.0 - LEARNING_RATE) * (self.variance + LEARNING_RATE * error * error)
+        mean = self.mean + SMOOTHING_FACTOR * error
+        variance = (1.0 - SMOOTHING_FACTOR) * (self.variance + SMOOTHING_FACTOR * error * error)
         return replace(self, mean=mean, variance=variance)
 
     def capped_at(self, max_tokens: int) -> tuple[float, float]:
--- a/src/croftchute/systems/pressure.py
+++ b/src/croftchute/systems/pressure.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-LEARNING_RATE = 0.03
+SMOOTHING_FACTOR = 0.03
 FULL_PRESSURE_DECLINED_SHARE = 0.1
 
 
@@ -26,4 +26,4 @@
         ``declined`` means that the shard lacked the capacity for a request of this size,
         whichever caller sent it.
         """
-        self.declined_share += LEARNING_RATE * (float(declined) - self.declined_share)
+        self.declined_share += SMOOTHING_FACTOR * (float(declined) - self.declined_share)
--- a/src/croftchute/systems/shard_choice.py
+++ b/src/croftchute/systems/shard_choice.py
@@ -46,7 +46,8 @@
         if affinity_shard is not None and affinity_shard not in sample:
             sample.append(affinity_shard)
         scored = sorted(
-            sample, key=lambda shard: (self._score(shard, affinity_shard, request), shard.id)
+            sample,
+            key=lambda shard: (self._expected_cost_s(shard, affinity_shard, request), shard.id),
         )
         chosen = tuple(shard.id for shard in scored[:MAX_CANDIDATES])
         self._asks_since_digest[chosen[0]] = self._asks_since_digest.get(chosen[0], 0) + 1
@@ -64,7 +65,9 @@
         position = request.prefix[0] % len(shards)
         return shards[position]
 
-    def _score(self, shard: Shard, affinity_shard: Shard | None, request: Request) -> float:
+    def _expected_cost_s(
+        self, shard: Shard, affinity_shard: Shard | None, request: Request
+    ) -> float:
         digest = self.digests_by_shard.get(shard.id)
         pending = PENDING_ASK_COST_S * self._asks_since_digest.get(shard.id, 0)
         credit = AFFINITY_CREDIT_S if affinity_shard is shard else 0.0
--- a/src/croftchute/systems/shard_digest.py
+++ b/src/croftchute/systems/shard_digest.py
@@ -6,7 +6,7 @@
 
 from croftchute.tables.upstreams import EngineConfig, EngineLoad, ShardDigest
 
-NO_PREFILL_WAIT_S = 60.0
+NO_PREFILL_ENGINE_WAIT_S = 60.0
 
 
 def build_digest(
@@ -26,7 +26,7 @@
     return ShardDigest(
         shard=shard_id,
         at=now,
-        prefill_wait_s=min(waits, default=NO_PREFILL_WAIT_S),
+        prefill_wait_s=min(waits, default=NO_PREFILL_ENGINE_WAIT_S),
         free_kv_tokens=max(0, round(max(free_kv, default=0.0))),
         free_slots=max(0, sum(slots)),
     )
--- a/src/croftchute/systems/sharding.py
+++ b/src/croftchute/systems/sharding.py
@@ -15,22 +15,22 @@
 from croftchute.tables.upstreams import EngineConfig, ModelConfig, Shard, Topology, engine_hash
 
 
-def assign_evenly(keys: Sequence[str], places: Sequence[str]) -> dict[str, str]:
+def assign_evenly(keys: Sequence[str], nodes: Sequence[str]) -> dict[str, str]:
     """Assign each key to a place, at most an even share of keys (rounded up) to each.
 
     >>> sorted(assign_evenly(["a", "b", "c", "d"], ["x", "y"]).values())
     ['x', 'x', 'y', 'y']
     """
-    if not places:
+    if not nodes:
         return {}
-    capacity = ceil(len(keys) / len(places))
-    taken = dict.fromkeys(places, 0)
-    place_by_key: dict[str, str] = {}
+    capacity = ceil(len(keys) / len(nodes))
+    taken = dict.fromkeys(nodes, 0)
+    node_by_key: dict[str, str] = {}
     for key in sorted(keys):
-        place = next(place for place in rank_nodes(key, places) if taken[place] < capacity)
-        taken[place] += 1
-        place_by_key[key] = place
-    return place_by_key
+        node = next(node for node in rank_nodes(key, nodes) if taken[node] < capacity)
+        taken[node] += 1
+        node_by_key[key] = node
+    return node_by_key
 
 
 def shard_count(engines: Sequence[EngineSpec], engines_per_shard: int) -> int:
