--- a/src/croftchute/policies/runner.py
+++ b/src/croftchute/policies/runner.py
@@ -46,7 +46,9 @@
             return PolicyOrder(placements=placements, failure=f"{policy}: suspended")
         by_id = {_candidate_id(placement): placement for placement in placements}
         try:
-            ids = compiled.order(_request(request), [_candidate(p, placements) for p in placements])
+            ids = compiled.order(
+                _request_record(request), [_candidate_record(p, placements) for p in placements]
+            )
         except PolicyError as error:
             return self._record_failure(policy, placements, error.message)
         if self.clock() - started > MAX_RUN_S:
@@ -71,7 +73,9 @@
     return f"{placement.prefill_id}>{placement.decode_id}"
 
 
-def _candidate(placement: Placement, placements: Sequence[Placement]) -> dict[str, str | float]:
+def _candidate_record(
+    placement: Placement, placements: Sequence[Placement]
+) -> dict[str, str | float]:
     earliest = placements[0].first_token_at
     return {
         "id": _candidate_id(placement),
@@ -82,7 +86,7 @@
     }
 
 
-def _request(request: Reserve) -> dict[str, str | int | float]:
+def _request_record(request: Reserve) -> dict[str, str | int | float]:
     return {
         "caller": request.caller,
         "model": request.model,
--- a/src/croftchute/systems/entry.py
+++ b/src/croftchute/systems/entry.py
@@ -116,7 +116,7 @@
         prefill_id = self.topology.engine_ids_by_hash.get(body.prefill_hash)
         decode_id = self.topology.engine_ids_by_hash.get(body.decode_hash)
         if prefill_id is None or decode_id is None:
-            return self._return_unknown_engines(row, body, now)
+            return self._release_unknown_engines(row, body, now)
         plan = Plan(
             request_id=body.request_id,
             attempt=body.attempt,
@@ -250,7 +250,9 @@
                     commands += self._give_up(row, Code.OWNER_SILENT, now)
         return commands
 
-    def _return_unknown_engines(self, row: OpenRequest, body: Granted, now: float) -> list[Command]:
+    def _release_unknown_engines(
+        self, row: OpenRequest, body: Granted, now: float
+    ) -> list[Command]:
         """Release a grant that names unknown engines, and ask the next shard.
 
         The owner then has a newer configuration than this box.
--- a/src/croftchute/systems/fairness.py
+++ b/src/croftchute/systems/fairness.py
@@ -18,9 +18,9 @@
 
     def __init__(self) -> None:
         self._use_by_caller: dict[str, tuple[float, float]] = {}
-        self._total = 0.0
-        self._total_at = 0.0
-        self._weights = 0.0
+        self._total_use = 0.0
+        self._total_use_at = 0.0
+        self._total_weight = 0.0
 
     def __len__(self) -> int:
         return len(self._use_by_caller)
@@ -30,10 +30,12 @@
         if caller not in self._use_by_caller:
             if len(self._use_by_caller) >= MAX_METERED_CALLERS:
                 self.sweep(now)
-            self._weights += weight
+            self._total_weight += weight
         self._use_by_caller[caller] = (self.use(caller, now) + tokens / weight, now)
-        self._total = self._total * exp(-DECAY_PER_S * max(0.0, now - self._total_at)) + tokens
-        self._total_at = now
+        self._total_use = (
+            self._total_use * exp(-DECAY_PER_S * max(0.0, now - self._total_use_at)) + tokens
+        )
+        self._total_use_at = now
 
     def use(self, caller: str, now: float) -> float:
         """Return a caller's decayed use, divided by its weight."""
@@ -45,10 +47,10 @@
 
     def excess(self, caller: str, now: float) -> float:
         """Return a caller's use divided by its fair share; 1 means exactly its share."""
-        if self._total <= 0.0 or self._weights <= 0.0:
+        if self._total_use <= 0.0 or self._total_weight <= 0.0:
             return 0.0
-        total = self._total * exp(-DECAY_PER_S * max(0.0, now - self._total_at))
-        fair = total / self._weights
+        total = self._total_use * exp(-DECAY_PER_S * max(0.0, now - self._total_use_at))
+        fair = total / self._total_weight
         return self.use(caller, now) / fair if fair > 0 else 0.0
 
     def sweep(self, now: float) -> None:
@@ -60,5 +62,5 @@
         }
         dropped = len(self._use_by_caller) - len(kept)
         if self._use_by_caller:
-            self._weights *= len(kept) / len(self._use_by_caller)
+            self._total_weight *= len(kept) / len(self._use_by_caller)
         self._use_by_caller = kept if dropped else self._use_by_caller
--- a/src/croftchute/systems/ledger.py
+++ b/src/croftchute/systems/ledger.py
@@ -28,8 +28,8 @@
     def __init__(self) -> None:
         self.loads_by_engine: dict[str, EngineLoad] = {}
         self.reservations_by_key: dict[str, Reservation] = {}
-        self.keys_by_entry: dict[str, set[str]] = {}
-        self._recent_by_engine: dict[str, deque[tuple[float, float]]] = {}
+        self.keys_by_entry_box: dict[str, set[str]] = {}
+        self._recent_grants_by_engine: dict[str, deque[tuple[float, float]]] = {}
 
     def __repr__(self) -> str:
         engines, held = len(self.loads_by_engine), len(self.reservations_by_key)
@@ -53,7 +53,7 @@
     def add(self, reservation: Reservation, placement: Placement | None, now: float) -> None:
         """Record a reservation; ``placement`` is None if an earlier owner granted it."""
         self.reservations_by_key[reservation.key] = reservation
-        self.keys_by_entry.setdefault(reservation.entry_box, set()).add(reservation.key)
+        self.keys_by_entry_box.setdefault(reservation.entry_box, set()).add(reservation.key)
         self._adjust_decode_load(reservation, sign=1)
         if placement is None:
             return
@@ -62,7 +62,9 @@
             prefill, prefill_free_at=placement.prefill_end_at
         )
         cost = placement.prefill_end_at - placement.prefill_start_at
-        recent = self._recent_by_engine.setdefault(prefill.id, deque(maxlen=MAX_RECENT_GRANTS))
+        recent = self._recent_grants_by_engine.setdefault(
+            prefill.id, deque(maxlen=MAX_RECENT_GRANTS)
+        )
         recent.append((now, cost))
         if placement.decode_id != placement.prefill_id:
             decode = self.loads_by_engine[placement.decode_id]
@@ -75,14 +77,14 @@
         reservation = self.reservations_by_key.pop(key, None)
         if reservation is None:
             return None
-        keys = self.keys_by_entry.get(reservation.entry_box, set())
+        keys = self.keys_by_entry_box.get(reservation.entry_box, set())
         keys.discard(key)
         if not keys:
-            self.keys_by_entry.pop(reservation.entry_box, None)
+            self.keys_by_entry_box.pop(reservation.entry_box, None)
         self._adjust_decode_load(reservation, sign=-1)
         return reservation
 
-    def give_back_prefill(self, reservation: Reservation, now: float) -> None:
+    def release_prefill_time(self, reservation: Reservation, now: float) -> None:
         """Shorten a prefill engine's predicted queue by work that will not be done."""
         load = self.loads_by_engine.get(reservation.prefill_id)
         if load is None or reservation.prefill_end_at <= now:
@@ -99,7 +101,7 @@
         """
         load = self.loads_by_engine[engine.id]
         free_at = report.as_of + report.prefill_backlog_tokens / engine.prefill_tokens_per_s
-        for granted_at, cost in self._recent_by_engine.get(engine.id, ()):
+        for granted_at, cost in self._recent_grants_by_engine.get(engine.id, ()):
             if granted_at > report.as_of:
                 free_at = max(free_at, granted_at) + cost
         fill = report.kv_used_tokens / engine.kv_tokens
--- a/src/croftchute/systems/membership.py
+++ b/src/croftchute/systems/membership.py
@@ -63,7 +63,7 @@
 
     def suspect_silent(self, now: float) -> list[str]:
         """Mark live boxes suspect that were silent for too long, and return their ids."""
-        self._note_check(now)
+        self._detect_own_stall(now)
         suspected = []
         for box in list(self.boxes_by_id.values()):
             heard_at = max(box.heard_at, self._resumed_at)
@@ -73,7 +73,7 @@
                 suspected.append(box.id)
         return suspected
 
-    def _note_check(self, now: float) -> None:
+    def _detect_own_stall(self, now: float) -> None:
         """Restart the silence timeout of all boxes if this box itself was stalled."""
         checked_at, self._checked_at = self._checked_at, now
         if checked_at is not None and now - checked_at > MAX_CHECK_GAP_SHARE * self.suspect_after_s:
--- a/src/croftchute/systems/owner.py
+++ b/src/croftchute/systems/owner.py
@@ -127,7 +127,7 @@
             return [self._decline(sender, request, Code.MODEL_UNKNOWN, 0.0)]
         needs = self._placement_needs(request)
         engines = self._engines_by_shard[request.shard]
-        found = shortlist_placements(
+        placements = shortlist_placements(
             engines,
             self.ledger.loads_by_engine,
             needs,
@@ -135,23 +135,23 @@
             waste_aversion=self.topology.waste_aversion,
         )
         pressure = self.pressure_by_shard[request.shard]
-        if not found:
+        if not placements:
             pressure.count_request(declined=True)
             return [
-                self._decline(sender, request, Code.NO_CAPACITY, self._retry_after(request, now))
+                self._decline(sender, request, Code.NO_CAPACITY, self._retry_after_s(request, now))
             ]
         commands: list[Command] = []
         if order_placements is not None and model.policy is not None:
-            ordered = order_placements(model.policy, request, found)
-            found = list(ordered.placements)
+            ordered = order_placements(model.policy, request, placements)
+            placements = list(ordered.placements)
             if ordered.failure:
                 commands.append(EmitEvent(event=policy_failed_event(request, ordered.failure)))
-        if not found:
+        if not placements:
             return [self._decline(sender, request, Code.POLICY_REFUSED, MIN_RETRY_AFTER_S)]
-        placement = found[0]
+        placement = placements[0]
         refusal = self._refusal_code(request, placement, now)
         if refusal is not None:
-            decline = self._decline(sender, request, refusal, self._retry_after(request, now))
+            decline = self._decline(sender, request, refusal, self._retry_after_s(request, now))
             return [*commands, decline]
         return commands + self._grant(sender, request, needs, placement, now)
 
@@ -164,7 +164,7 @@
             self.ledger.back_off(body.failed_engine, body.rest_s, now)
         if reservation is None:
             return []
-        self.ledger.give_back_prefill(reservation, now)
+        self.ledger.release_prefill_time(reservation, now)
         if body.output_tokens > 0 and not body.failed_engine and body.confirmed:
             self._update_forecasts(reservation, body.output_tokens)
         event = Event(
@@ -221,7 +221,7 @@
     def entry_box_gone(self, box: str, now: float) -> list[Command]:
         """Cancel all reservations of an entry box that died or was restarted."""
         commands: list[Command] = []
-        for key in sorted(self.ledger.keys_by_entry.get(box, ())):
+        for key in sorted(self.ledger.keys_by_entry_box.get(box, ())):
             commands += self._drop_orphan(key, f"entry box {box} gone", now)
         return commands
 
@@ -370,7 +370,7 @@
         )
         return SendPeer(box=sender, body=body)
 
-    def _retry_after(self, request: Reserve, now: float) -> float:
+    def _retry_after_s(self, request: Reserve, now: float) -> float:
         backoff_s = self.ledger.backoff_left_s(
             self.topology.shards_by_id[request.shard].engine_ids, now
         )
@@ -388,7 +388,7 @@
         reservation = self.ledger.remove(key)
         if reservation is None:
             return []
-        self.ledger.give_back_prefill(reservation, now)
+        self.ledger.release_prefill_time(reservation, now)
         event = Event(
             kind=Kind.ORPHAN_FOUND,
             request_id=reservation.request_id,
