--- a/tests/systems/test_entry.py
+++ b/tests/systems/test_entry.py
@@ -53,12 +53,12 @@
     )
 
 
-def start(entry, name="r"):
+def start_attempt(entry, name="r"):
     (ask,) = sent(entry.request_received(request(name), 0.0), Reserve)
     return ask.body, entry.reservation_granted(ask.box, grant(ask.body), 0.01)
 
 
-def end(**changes):
+def attempt_end(**changes):
     values = {"request_id": "r", "attempt": 1, "ok": False, "output_tokens": 3, "sent": True}
     return AttemptEnd(**(values | {"failed_engine": "hall-1-decode-0"} | changes))
 
@@ -85,8 +85,8 @@
 def test_a_begun_answer_waits_for_slow_owners_until_its_deadline():
     """Owners on a busy machine replied after 0.4 s, when the stream had already been cut off."""
     entry = make_entry()
-    start(entry)
-    commands = [(1.0, command) for command in entry.attempt_ended(end(), 1.0)]
+    start_attempt(entry)
+    commands = [(1.0, command) for command in entry.attempt_ended(attempt_end(), 1.0)]
     commands += tick_until(entry, 1.0, 29.9)
     assert not commands_of([c for _, c in commands], RefuseRequest)
     asks = [(at, c) for at, c in commands if sent([c], Reserve)]
@@ -108,9 +108,9 @@
 
     Return the time at which the request is refused, and the reservations that were asked for.
     """
-    start(entry)
+    start_attempt(entry)
     now = 1.0
-    commands = entry.attempt_ended(end(), now)
+    commands = entry.attempt_ended(attempt_end(), now)
     asks = []
     while now < 20.0:
         while commands:
@@ -141,8 +141,8 @@
 
 def test_a_begun_answer_is_given_up_at_its_deadline():
     entry = make_entry()
-    start(entry)
-    entry.attempt_ended(end(), 1.0)
+    start_attempt(entry)
+    entry.attempt_ended(attempt_end(), 1.0)
     (refused,) = commands_of([c for _, c in tick_until(entry, 1.0, 31.0)], RefuseRequest)
     assert (refused.code, refused.ran) == (Code.DEADLINE_PASSED, Ran.RAN)
     assert not entry.open_by_id
@@ -168,7 +168,7 @@
 
 def test_a_repeated_grant_starts_no_second_attempt():
     entry = make_entry()
-    asked, commands = start(entry)
+    asked, commands = start_attempt(entry)
     assert len(commands_of(commands, StartAttempt)) == 1
     assert entry.reservation_granted("x", grant(asked), 0.02) == []
 
@@ -190,25 +190,25 @@
 
 def test_a_failed_attempt_resumes_at_the_next_token_on_other_engines():
     entry = make_entry()
-    start(entry)
-    (ask,) = sent(entry.attempt_ended(end(), 1.0), Reserve)
+    start_attempt(entry)
+    (ask,) = sent(entry.attempt_ended(attempt_end(), 1.0), Reserve)
     assert (ask.body.attempt, ask.body.resume_from) == (2, 3)
     assert ask.body.avoid == ("hall-1-decode-0",)
 
 
 def test_the_end_of_an_earlier_attempt_is_ignored():
     entry = make_entry()
-    start(entry)
-    entry.attempt_ended(end(), 1.0)
-    assert entry.attempt_ended(end(ok=True), 1.1) == []
+    start_attempt(entry)
+    entry.attempt_ended(attempt_end(), 1.0)
+    assert entry.attempt_ended(attempt_end(ok=True), 1.1) == []
 
 
 def test_without_retry_budget_requests_are_refused_as_run():
     entry = make_entry()
     refusals = []
     for n in range(40):
-        start(entry, f"r{n}")
-        commands = entry.attempt_ended(end(request_id=f"r{n}"), 1.0)
+        start_attempt(entry, f"r{n}")
+        commands = entry.attempt_ended(attempt_end(request_id=f"r{n}"), 1.0)
         refusals += commands_of(commands, RefuseRequest)
     assert 0 < len(refusals) < 40
     assert {refusal.ran for refusal in refusals} == {Ran.RAN}
@@ -216,7 +216,7 @@
 
 def test_both_engines_are_cancelled_when_the_caller_disconnects():
     entry = make_entry()
-    start(entry)
+    start_attempt(entry)
     commands = entry.caller_left("r", 1.0)
     assert {c.engine_id for c in commands_of(commands, CancelAttempt)} == {
         "hall-1-prefill-0",
