--- a/src/croftchute/commands.py
+++ b/src/croftchute/commands.py
@@ -54,7 +54,7 @@
 
 
 class ProposeRangeMap(Row, frozen=True, kw_only=True):
-    """Try to replace a version of the range map in the platform's store by new rows."""
+    """Try to replace the given version of the range map in the platform's store with new rows."""
 
     version: int
     rows: tuple[RangeRow, ...]
--- a/src/croftchute/policies/runner.py
+++ b/src/croftchute/policies/runner.py
@@ -1,4 +1,4 @@
-"""Execution of policies at placement; a failure or overrun keeps the built-in order."""
+"""Execution of policies at placement; the built-in order stays if one fails or takes too long."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
         self._suspended_until: dict[str, float] = {}
 
     def load(self, document: Document) -> None:
-        """Compile and activate the policies of a document that has passed its checks."""
+        """Compile and activate the policies of a validated document."""
         self._compiled_by_name = {
             policy.id: compile_policy(policy.id, policy.source) for policy in document.policies
         }
--- a/src/croftchute/systems/__init__.py
+++ b/src/croftchute/systems/__init__.py
@@ -1,1 +1,1 @@
-"""Decision logic: code without I/O that reads tables and returns typed commands."""
+"""Decision logic without I/O: takes inputs, updates tables and returns commands to execute."""
--- a/src/croftchute/systems/admission.py
+++ b/src/croftchute/systems/admission.py
@@ -1,9 +1,9 @@
 """Admission control: the longest time that a request may queue under load.
 
-A higher priority may use more of the target than a lower one, and a caller within its fair
-share more than a caller above it. Under overload the router therefore refuses low-priority
-requests of the heaviest callers first. The limit applies to the predicted time in the queue, so
-an idle shard refuses nobody.
+The target is the time to first token. A request of a higher priority may use more of it than one
+of a lower priority, and a caller within its fair share more than a caller above it. Under overload
+the router therefore refuses low-priority requests of the heaviest callers first. The limit applies
+to the predicted time in the queue, so an idle shard refuses nobody.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 
 def priority_share(priority: int) -> float:
-    """Return the share of the target that a request of this priority may use.
+    """Return the share of the time-to-first-token target for requests of this priority.
 
     >>> priority_share(9)
     1.0
@@ -27,7 +27,7 @@
 
 
 def fairness_share(excess: float) -> float:
-    """Return the share of the target that a caller may use.
+    """Return the share of the time-to-first-token target for a caller's requests.
 
     ``excess`` is the caller's use divided by its fair share.
 
--- a/src/croftchute/systems/box.py
+++ b/src/croftchute/systems/box.py
@@ -55,16 +55,19 @@
 from croftchute.timeline.events import Event, Kind
 
 ANNOUNCE_DELAYS_S = (0.0, 0.5, 1.5)
-"""When attempts are announced to a shard's new owner; more than once, as messages may be lost."""
+"""Delays after a change of a shard's owner at which attempts are announced to the new owner.
+
+They are announced more than once because messages may be lost.
+"""
 
 FETCH_INTERVAL_S = 0.3
 REPAIR_INTERVAL_S = 1.0
 RELAYS_PER_HALL = 2
 FIRST_FULL_HEARTBEATS = 10
-"""Heartbeats after a start that all carry the address; later ones leave it out to save bytes."""
+"""Number of heartbeats after a start that all carry the address; most later ones omit it."""
 
 FULL_HEARTBEAT_EVERY = 8
-"""After the first heartbeats, every one whose number is a multiple of this carries the address."""
+"""Interval, in heartbeats, at which later ones carry the address; the others save its bytes."""
 
 
 class BoxSystems:
@@ -136,7 +139,7 @@
         self.membership.add_boxes(boxes)
 
     def start_leaving(self, now: float) -> list[Command]:
-        """Give all shards away; open requests continue."""
+        """Hand all shards over to other live boxes, if there are any; open requests continue."""
         self.own = replace(self.own, state=BoxState.LEAVING)
         self.membership.own = self.own
         self._next_heartbeat_at = 0.0
@@ -222,7 +225,7 @@
                 self.entry.crashes.apply_notices(body, now)
                 return self._send_crash_news(now)
             case BoxNotice() | AllowanceAsk() | AllowanceReply():
-                return []  # for forwarding boxes, which have a table of their own
+                return []  # handled by the peer exchange of the forwarding package
             case Begin() | Mirror() | Mirrored() | Verdict() | Finish():
                 return self.dedupe.receive(sender, body, now)
 
@@ -256,7 +259,7 @@
         return commands
 
     def _suspect_silent_boxes(self, now: float) -> list[Command]:
-        """Free the reservations of boxes that fell silent.
+        """Suspect boxes whose heartbeats have stopped, and cancel the attempts that they started.
 
         A box that has sent no heartbeat yet does not count as silent.
         """
@@ -326,7 +329,7 @@
         ]
 
     def _send_crash_news(self, now: float) -> list[Command]:
-        """Send news of requests under which engines crashed to the receivers of heartbeats."""
+        """Send notices of requests during which engines crashed to all heartbeat receivers."""
         news = self.entry.crashes.take_outgoing(now)
         return [
             SendPeer(box=box, body=part) for part in news for box in self._heartbeat_receivers()
@@ -334,7 +337,10 @@
 
     @property
     def is_relay(self) -> bool:
-        """Whether this box is one of the few of its hall that talk to the platform."""
+        """Whether this box is one of the few of its hall that watch the platform's store.
+
+        Relays also exchange heartbeats with the other halls.
+        """
         return self.own.id in rank_nodes("relay", self.membership.live_ids())[:RELAYS_PER_HALL]
 
     def _heartbeat_receivers(self) -> list[str]:
--- a/src/croftchute/systems/cancels.py
+++ b/src/croftchute/systems/cancels.py
@@ -1,4 +1,4 @@
-"""Cancellation of attempts on engines, resent until the engine confirms it or is given up."""
+"""Cancellation of attempts on engines, resent until it is confirmed or has timed out."""
 
 from __future__ import annotations
 
@@ -30,7 +30,10 @@
         self.pending_by_target: dict[tuple[str, str], PendingCancel] = {}
 
     def start(self, engine_id: str, key: str, now: float) -> list[Command]:
-        """Start to cancel an attempt at an engine; does nothing if that is already pending."""
+        """Start to cancel an attempt at an engine.
+
+        Does nothing if that is already pending, or if the engine id is empty.
+        """
         target = (engine_id, key)
         if not engine_id or target in self.pending_by_target:
             return []
--- a/src/croftchute/systems/dedupe.py
+++ b/src/croftchute/systems/dedupe.py
@@ -1,8 +1,9 @@
-"""At-most-once execution: a non-repeatable call runs only if both boxes of its range agree.
+"""At-most-once execution: a non-repeatable call runs only if two boxes have agreed to it.
 
-Each key range has two boxes. The first allows a call after the second has stored its record
-under the same epoch. If a box has been replaced, the other one rejects its epoch, so the
-protocol relies on neither clocks nor leases. A range whose second box is missing allows no calls.
+Idempotency keys are divided into ranges, each with a first and a second box. The first box allows
+a call after the second has stored its record under the same epoch. If a box has been replaced, the
+other one rejects its epoch, so the protocol relies on neither clocks nor leases. A range whose
+second box is missing allows no calls.
 """
 
 from __future__ import annotations
@@ -68,7 +69,7 @@
         return f"Deduplicator(box={self.own.box!r}, map={self.map.version}, records={held})"
 
     def box_restarted(self, box: str, incarnation: int) -> list[Command]:
-        """Note that earlier incarnations of a restarted box have ended."""
+        """Record that earlier incarnations of a restarted box have ended."""
         for row in self.map.rows:
             for member in (row.first, row.second):
                 if member.box == box and member.incarnation < incarnation:
@@ -150,7 +151,7 @@
         return [SendPeer(box=row.first.box, body=body)]
 
     def receive(self, sender: str, body: Body, now: float) -> list[Command]:
-        """Handle any message of this system."""
+        """Handle a message of the at-most-once protocol."""
         match body:
             case Begin():
                 return self._begin_received(sender, body, now)
--- a/src/croftchute/systems/dedupe_map.py
+++ b/src/croftchute/systems/dedupe_map.py
@@ -1,7 +1,8 @@
 """The map of key ranges to pairs of boxes: its first version, and replacement of lost members.
 
-A range is moved only by a member that has all its records. If both members are known to have
-ended, it is moved under a floor: the outcome of keys created before it is then unknown. A silent
+A range is reassigned only by a member that has all its records. If both members are known to have
+ended, it is reassigned without records and with a floor, the time of the change plus the tolerated
+clock skew: the outcome of calls whose keys were created before the floor is unknown. A silent
 box has not necessarily ended; it may be partitioned and still serve its callers.
 """
 
@@ -65,7 +66,7 @@
     replacements: list[BoxIncarnation],
     now: float,
 ) -> tuple[RangeRow, ...]:
-    """Return all rows with the changes that this box may propose, or unchanged."""
+    """Return all rows, including the changes that this box may propose, if any."""
     return tuple(
         _repair_row(
             row,
--- a/src/croftchute/systems/entry.py
+++ b/src/croftchute/systems/entry.py
@@ -1,4 +1,4 @@
-"""The entry side of requests: reservation on a shard, attempts, retries and refusal."""
+"""Requests at the box that received them: reservations, attempts, retries and refusals."""
 
 from __future__ import annotations
 
@@ -39,8 +39,8 @@
 took 0.3 to 0.5 s to reply."""
 
 MAX_RESUME_WAIT_S = 2.0
-"""Longest wait for a reservation that resumes an answer: callers of streams tolerate a gap of this
-length. After it the request is given up, because the engines may be gone for good."""
+"""Longest wait for a reservation that resumes an answer. Callers of streams tolerate a gap of this
+length. The request is then given up, because the engines may be permanently unavailable."""
 
 MAX_ATTEMPTS = 4
 FINAL_DECLINE_CODES = (Code.DEADLINE_PASSED, Code.POLICY_REFUSED, Code.MODEL_UNKNOWN)
--- a/src/croftchute/systems/ledger.py
+++ b/src/croftchute/systems/ledger.py
@@ -115,7 +115,10 @@
         )
 
     def mark_suspect(self, engine_id: str, now: float) -> None:
-        """Prefer other engines for ``SUSPECT_DURATION_S`` after a failed call."""
+        """Avoid an engine for ``SUSPECT_DURATION_S`` after a failed call.
+
+        It then gets no decode work, and prefill work only if no other engine is usable.
+        """
         load = self.loads_by_engine.get(engine_id)
         if load is not None:
             self.loads_by_engine[engine_id] = changed(load, suspect_until=now + SUSPECT_DURATION_S)
@@ -145,7 +148,7 @@
         return min(left_s, default=0.0)
 
     def confirm(self, keys: Iterable[str], now: float) -> None:
-        """Note that the entry box has confirmed these reservations."""
+        """Record that the entry box has confirmed these reservations."""
         for key in keys:
             reservation = self.reservations_by_key.get(key)
             if reservation is not None:
--- a/src/croftchute/systems/membership.py
+++ b/src/croftchute/systems/membership.py
@@ -62,7 +62,7 @@
         return [Event(kind=Kind.BOX_LIVE, detail=f"{sender} {state.value}")], restarted
 
     def suspect_silent(self, now: float) -> list[str]:
-        """Mark live boxes suspect that were silent for too long, and return their ids."""
+        """Mark boxes that have been silent for too long as suspect, and return their ids."""
         self._detect_own_stall(now)
         suspected = []
         for box in list(self.boxes_by_id.values()):
--- a/src/croftchute/systems/owner.py
+++ b/src/croftchute/systems/owner.py
@@ -1,4 +1,4 @@
-"""The owner's side of reservations: grants, releases and audits them on this box's shards."""
+"""Reservations on the shards that this box owns: how they are granted, audited and released."""
 
 from __future__ import annotations
 
@@ -219,7 +219,7 @@
         return commands
 
     def entry_box_gone(self, box: str, now: float) -> list[Command]:
-        """Cancel all reservations of an entry box that died or was restarted."""
+        """Cancel all reservations of an entry box that is suspected or was restarted."""
         commands: list[Command] = []
         for key in sorted(self.ledger.keys_by_entry_box.get(box, ())):
             commands += self._drop_orphan(key, f"entry box {box} gone", now)
@@ -407,7 +407,7 @@
     def _cancel_unknown_attempts(
         self, engine_id: str, report: EngineReport, now: float
     ) -> list[Command]:
-        """Cancel attempts that an engine runs although no reservation has existed for a while."""
+        """Cancel an engine's attempts that have had no reservation for the grace period."""
         commands: list[Command] = []
         held = self.ledger.reservations_by_key
         for key in self._unknown_attempts.overdue(engine_id, report, held, now):
--- a/src/croftchute/systems/owner_messages.py
+++ b/src/croftchute/systems/owner_messages.py
@@ -9,7 +9,7 @@
 
 
 def policy_failed_event(request: Reserve, failure: str) -> Event:
-    """Build the event for a request that was placed without its policy, as that failed."""
+    """Build the event for a request that was placed without its policy, which failed."""
     return Event(
         kind=Kind.POLICY_FAILED,
         request_id=request.request_id,
--- a/src/croftchute/systems/placement.py
+++ b/src/croftchute/systems/placement.py
@@ -1,6 +1,6 @@
 """Choice of engines within a shard, by predicted time to first token and free memory.
 
-The functions only read the owner's rows.
+The functions do not change the owner's tables.
 """
 
 from __future__ import annotations
@@ -45,7 +45,7 @@
 
 
 class PrefillWindow(Row, frozen=True, kw_only=True):
-    """A time slot on a prefill engine."""
+    """The time during which a prefill engine would process a request's prompt."""
 
     engine_id: str
     uncached_tokens: int
@@ -77,7 +77,7 @@
     *,
     now: float,
 ) -> list[PrefillWindow]:
-    """Return slots on the usable prefill engines, earliest end first, those to avoid last."""
+    """Return windows on the usable prefill engines, earliest end first, those to avoid last."""
     windows = []
     for engine in engines:
         load = loads[engine.id]
@@ -110,7 +110,7 @@
     """Return decode engines with free memory, least loaded first.
 
     Engines that the request should avoid are left out unless there is no other. An engine that
-    recently failed a call gets nothing, since a prefill for it may be wasted.
+    recently failed a call is always left out, since a prefill for it may be wasted.
     """
     candidates = [
         engine
@@ -135,7 +135,10 @@
     *,
     now: float,
 ) -> Placement | None:
-    """Place a prefill slot's result on a decode engine; None if the result would expire."""
+    """Return the placement of a prefill on a decode engine.
+
+    Return None if the prefill's KV cache might expire before its transfer ends.
+    """
     transfer = 0.0
     if window.engine_id != engine.id:
         transfer = needs.prompt_tokens * needs.kv_bytes_per_token / engine.link_bytes_per_s
--- a/src/croftchute/systems/prefix_index.py
+++ b/src/croftchute/systems/prefix_index.py
@@ -61,7 +61,7 @@
         self._generation += 1
 
     def clear(self) -> None:
-        """Drop all entries after a restart of the engine; its sequence starts anew."""
+        """Drop all entries after a restart of the engine; its sequence numbers restart."""
         self._generation_by_block.clear()
         self.next_seq = None
 
--- a/src/croftchute/systems/pressure.py
+++ b/src/croftchute/systems/pressure.py
@@ -17,7 +17,10 @@
 
     @property
     def level(self) -> float:
-        """Return 0 without declines, rising to 1 when a tenth or more were declined."""
+        """Lack of capacity, from 0 without declines to 1.
+
+        It is 1 if the declined share is ``FULL_PRESSURE_DECLINED_SHARE`` or more.
+        """
         return min(1.0, self.declined_share / FULL_PRESSURE_DECLINED_SHARE)
 
     def count_request(self, *, declined: bool) -> None:
--- a/src/croftchute/systems/shard_choice.py
+++ b/src/croftchute/systems/shard_choice.py
@@ -1,4 +1,4 @@
-"""Choice of the shards to ask for a request, from digests that lag behind the real load.
+"""Choice of the shards to ask for a reservation, from digests that lag behind the real load.
 
 The shard that a prompt's prefix maps to is preferred, unless others are clearly less loaded.
 """
--- a/src/croftchute/systems/shard_digest.py
+++ b/src/croftchute/systems/shard_digest.py
@@ -12,7 +12,7 @@
 def build_digest(
     shard_id: str, engines: Sequence[EngineConfig], loads: Mapping[str, EngineLoad], now: float
 ) -> ShardDigest:
-    """Return the shortest prefill wait, the largest free decode memory and all free slots."""
+    """Return a shard's shortest prefill wait, largest free decode memory and sum of free slots."""
     waits = [
         max(0.0, loads[engine.id].prefill_free_at - now)
         for engine in engines
--- a/src/croftchute/systems/sharding.py
+++ b/src/croftchute/systems/sharding.py
@@ -16,7 +16,7 @@
 
 
 def assign_evenly(keys: Sequence[str], nodes: Sequence[str]) -> dict[str, str]:
-    """Assign each key to a place, at most an even share of keys (rounded up) to each.
+    """Assign each key to a node, at most an even share of keys (rounded up) to each.
 
     >>> sorted(assign_evenly(["a", "b", "c", "d"], ["x", "y"]).values())
     ['x', 'x', 'y', 'y']
--- a/src/croftchute/tables/boxes.py
+++ b/src/croftchute/tables/boxes.py
@@ -7,7 +7,7 @@
 
 
 class BoxState(StrEnum):
-    """The state of a box, as another box believes it to be."""
+    """The state of a box as far as this box knows."""
 
     LIVE = "live"
     SUSPECT = "suspect"
--- a/src/croftchute/tables/dedupe.py
+++ b/src/croftchute/tables/dedupe.py
@@ -12,7 +12,13 @@
 
 
 class Phase(StrEnum):
-    """The phase of a non-repeatable call."""
+    """The phase of a non-repeatable call.
+
+    ``DELIVERED`` means that the answer is not stored: it is being sent to the caller, or it is too
+    large. ``ABANDONED`` means that the call has not run, and its key is free again. ``SYNCED`` is
+    not a phase of a call: it marks the end of the records that the first box of a range copies to
+    a new second box.
+    """
 
     GRANTED = "granted"
     DONE = "done"
@@ -23,7 +29,11 @@
 
 
 class Decision(StrEnum):
-    """The reply of a range's first box."""
+    """The reply of a range's first box to a call that may begin or has finished.
+
+    ``STORED`` returns the answer of an earlier call with the key. ``NOTED`` confirms that the
+    outcome of a call is recorded.
+    """
 
     RUN = "run"
     STORED = "stored"
@@ -33,7 +43,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class BoxIncarnation:
-    """One incarnation of a box, that is the process between one start and its end."""
+    """One run of a box's process, from its start to its end."""
 
     box: str
     incarnation: int
--- a/src/croftchute/tables/requests.py
+++ b/src/croftchute/tables/requests.py
@@ -36,7 +36,7 @@
 class OpenRequest(Row, frozen=True, kw_only=True):
     """A request in progress; ``delivered`` counts the output tokens that the caller has.
 
-    Until ``resume_wait_ends_at`` an answer that has begun waits for a reservation to resume.
+    An answer that has begun waits until ``resume_wait_ends_at`` for a reservation to resume it.
     """
 
     request: Request
@@ -56,8 +56,9 @@
     def is_last_shard_for_resume(self) -> bool:
         """Whether an answer that has begun can resume only on the shard that was asked last.
 
-        Its caller would lose the part it has by asking elsewhere, so a silent owner is asked until
-        the deadline. A request that has not begun is refused soon, and its caller told to retry.
+        If it were refused, its caller would lose the part it has by retrying elsewhere. A silent
+        owner is therefore asked until the deadline. A request that has no output yet is refused
+        early, and its caller is told to retry.
         """
         return self.attempt > 1 and not self.candidates
 
@@ -80,7 +81,7 @@
     """How an attempt ended; ``sent`` is true if an engine may have started it.
 
     ``engine_has_ended`` is true if the failed engine's process has ended, rather than only the
-    connection. ``rest_s`` is for how long that engine wants no work; 0 if it did not say so.
+    connection. ``rest_s`` is the backoff that this engine asked for; 0 if it asked for none.
     """
 
     request_id: str
--- a/src/croftchute/tables/upstreams.py
+++ b/src/croftchute/tables/upstreams.py
@@ -12,7 +12,7 @@
 def engine_hash(engine_id: str) -> int:
     """Return the short id of an engine in messages.
 
-    The check of a configuration rejects engines whose hashes collide.
+    The validation of a configuration rejects engines whose hashes collide.
     """
     return int(xxhash.xxh32_intdigest(engine_id.encode()))
 
@@ -108,7 +108,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Topology:
-    """The configuration as one hall sees it, rebuilt for each revision."""
+    """The configuration with the engines and shards of one hall, rebuilt for each revision."""
 
     revision: int
     hall: str
--- a/tests/systems/test_box.py
+++ b/tests/systems/test_box.py
@@ -44,7 +44,7 @@
 
 
 def test_a_box_without_a_first_heartbeat_is_not_suspected():
-    """A box that had just started cancelled the attempts of all boxes not yet heard from."""
+    """Guards against a newly started box cancelling the attempts of boxes not yet heard from."""
     systems = make_systems(peers=(OTHER, THIRD))
     systems.receive(OTHER, reserve_body("r"), 0.1)
     commands = systems.receive(THIRD, heartbeat(), 0.2) + systems.tick(0.3)
--- a/tests/systems/test_entry.py
+++ b/tests/systems/test_entry.py
@@ -83,7 +83,7 @@
 
 
 def test_a_begun_answer_waits_for_slow_owners_until_its_deadline():
-    """Owners on a busy machine replied after 0.4 s, when the stream had already been cut off."""
+    """Guards against ending a stream before owners on a busy machine reply, which took 0.4 s."""
     entry = make_entry()
     start_attempt(entry)
     commands = [(1.0, command) for command in entry.attempt_ended(attempt_end(), 1.0)]
--- a/tests/systems/test_membership.py
+++ b/tests/systems/test_membership.py
@@ -43,7 +43,7 @@
 
 
 def test_a_box_that_was_stalled_itself_suspects_no_box_at_once():
-    """On an overloaded machine, boxes cancelled streams of entry boxes that were alive."""
+    """Guards against cancelling the streams of live entry boxes on an overloaded machine."""
     membership = make_membership()
     membership.suspect_silent(0.1)
     assert membership.suspect_silent(2.6) == []
