--- a/src/croftchute/policies/starlark_policy.py
+++ b/src/croftchute/policies/starlark_policy.py
@@ -16,7 +16,7 @@
 
 ENTRY_FUNCTION = "order"
 MAX_SOURCE_BYTES = 16384
-RANGE_UNAVAILABLE_MESSAGE = "policies loop over their candidates; range() is not available"
+RANGE_UNAVAILABLE_MESSAGE = "range() is not available in policies; loop over the candidates instead"
 
 PolicyValue = str | int | float | bool
 PolicyRecord = Mapping[str, PolicyValue]
@@ -45,7 +45,9 @@
         except (starlark.StarlarkError, ValueError, TypeError) as error:
             raise PolicyError(Code.POLICY_INVALID, f"policy {self.name!r}: {error}") from None
         if not isinstance(result, list) or not all(entry in known for entry in result):
-            message = f"policy {self.name!r} returned no list of candidate ids: {result!r:.80}"
+            message = (
+                f"policy {self.name!r} did not return a list of known candidate ids: {result!r:.80}"
+            )
             raise PolicyError(Code.POLICY_INVALID, message)
         return tuple(dict.fromkeys(result))
 
