--- a/src/croftchute/systems/dedupe_map.py
+++ b/src/croftchute/systems/dedupe_map.py
@@ -1,7 +1,8 @@
 """The map of key ranges to pairs of boxes: its first version, and replacement of lost members.
 
-A range is moved only by a member that has all its records. If both members are known to have
-ended, it is moved under a floor: the outcome of keys created before it is then unknown. A silent
+A range is reassigned only by a member that has all its records. If both members are known to have
+ended, it is reassigned without records and with a floor, the time of the change plus the tolerated
+clock skew: the outcome of calls whose keys were created before the floor is unknown. A silent
 box has not necessarily ended; it may be partitioned and still serve its callers.
 """
 
@@ -55,8 +56,8 @@
     )
 
 
-def repaired_rows(
-    known: RangeMap,
+def repair_rows(
+    range_map: RangeMap,
     *,
     own: BoxIncarnation,
     holds_records: Callable[[int], bool],
@@ -65,9 +66,9 @@
     replacements: list[BoxIncarnation],
     now: float,
 ) -> tuple[RangeRow, ...]:
-    """Return all rows with the changes that this box may propose, or unchanged."""
+    """Return all rows, including the changes that this box may propose, if any."""
     return tuple(
-        _repaired(
+        _repair_row(
             row,
             own=own,
             holds_records=holds_records,
@@ -76,11 +77,11 @@
             replacements=replacements,
             now=now,
         )
-        for row in known.rows
+        for row in range_map.rows
     )
 
 
-def _repaired(
+def _repair_row(
     row: RangeRow,
     *,
     own: BoxIncarnation,
--- a/src/croftchute/systems/entry.py
+++ b/src/croftchute/systems/entry.py
@@ -1,4 +1,4 @@
-"""The entry side of requests: reservation on a shard, attempts, retries and refusal."""
+"""Requests at the box that received them: reservations, attempts, retries and refusals."""
 
 from __future__ import annotations
 
@@ -39,8 +39,8 @@
 took 0.3 to 0.5 s to reply."""
 
 MAX_RESUME_WAIT_S = 2.0
-"""Longest wait for a reservation that resumes an answer: callers of streams tolerate a gap of this
-length. After it the request is given up, because the engines may be gone for good."""
+"""Longest wait for a reservation that resumes an answer. Callers of streams tolerate a gap of this
+length. The request is then given up, because the engines may be permanently unavailable."""
 
 MAX_ATTEMPTS = 4
 FINAL_DECLINE_CODES = (Code.DEADLINE_PASSED, Code.POLICY_REFUSED, Code.MODEL_UNKNOWN)
@@ -116,7 +116,7 @@
         prefill_id = self.topology.engine_ids_by_hash.get(body.prefill_hash)
         decode_id = self.topology.engine_ids_by_hash.get(body.decode_hash)
         if prefill_id is None or decode_id is None:
-            return self._return_unknown_engines(row, body, now)
+            return self._release_unknown_engines(row, body, now)
         plan = Plan(
             request_id=body.request_id,
             attempt=body.attempt,
@@ -250,7 +250,9 @@
                     commands += self._give_up(row, Code.OWNER_SILENT, now)
         return commands
 
-    def _return_unknown_engines(self, row: OpenRequest, body: Granted, now: float) -> list[Command]:
+    def _release_unknown_engines(
+        self, row: OpenRequest, body: Granted, now: float
+    ) -> list[Command]:
         """Release a grant that names unknown engines, and ask the next shard.
 
         The owner then has a newer configuration than this box.
--- a/src/croftchute/systems/pressure.py
+++ b/src/croftchute/systems/pressure.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-LEARNING_RATE = 0.03
+SMOOTHING_FACTOR = 0.03
 FULL_PRESSURE_DECLINED_SHARE = 0.1
 
 
@@ -17,7 +17,10 @@
 
     @property
     def level(self) -> float:
-        """Return 0 without declines, rising to 1 when a tenth or more were declined."""
+        """Lack of capacity, from 0 without declines to 1.
+
+        It is 1 if the declined share is ``FULL_PRESSURE_DECLINED_SHARE`` or more.
+        """
         return min(1.0, self.declined_share / FULL_PRESSURE_DECLINED_SHARE)
 
     def count_request(self, *, declined: bool) -> None:
@@ -26,4 +29,4 @@
         ``declined`` means that the shard lacked the capacity for a request of this size,
         whichever caller sent it.
         """
-        self.declined_share += LEARNING_RATE * (float(declined) - self.declined_share)
+        self.declined_share += SMOOTHING_FACTOR * (float(declined) - self.declined_share)
--- a/src/croftchute/systems/shard_digest.py
+++ b/src/croftchute/systems/shard_digest.py
@@ -6,13 +6,13 @@
 
 from croftchute.tables.upstreams import EngineConfig, EngineLoad, ShardDigest
 
-NO_PREFILL_WAIT_S = 60.0
+NO_PREFILL_ENGINE_WAIT_S = 60.0
 
 
 def build_digest(
     shard_id: str, engines: Sequence[EngineConfig], loads: Mapping[str, EngineLoad], now: float
 ) -> ShardDigest:
-    """Return the shortest prefill wait, the largest free decode memory and all free slots."""
+    """Return a shard's shortest prefill wait, largest free decode memory and sum of free slots."""
     waits = [
         max(0.0, loads[engine.id].prefill_free_at - now)
         for engine in engines
@@ -26,7 +26,7 @@
     return ShardDigest(
         shard=shard_id,
         at=now,
-        prefill_wait_s=min(waits, default=NO_PREFILL_WAIT_S),
+        prefill_wait_s=min(waits, default=NO_PREFILL_ENGINE_WAIT_S),
         free_kv_tokens=max(0, round(max(free_kv, default=0.0))),
         free_slots=max(0, sum(slots)),
     )
