--- a/src/croftchute/forwarding/workers/prompt_cache_lookup.py
+++ b/src/croftchute/forwarding/workers/prompt_cache_lookup.py
@@ -37,7 +37,7 @@
     )
     run.log(
         Decision.KEEPER_ASKED,
-        outcome="found" if tokens > 0 else "not cached",
+        outcome="found" if tokens > 0 else "none keeps it",
         worker=worker_id if tokens > 0 else "",
         kept_tokens=tokens,
         workers_asked=len(usable),
--- a/src/croftchute/forwarding/workers/prompt_prefill.py
+++ b/src/croftchute/forwarding/workers/prompt_prefill.py
@@ -57,7 +57,7 @@
         self._has_started = True
         for number in range(MAX_PREFILL_ATTEMPTS):
             if run.crashes_prefill_workers:
-                run.log(Decision.READ_AT_DECODE, outcome="prompt crashed prefill workers")
+                run.log(Decision.READ_AT_DECODE, outcome="reading it ends workers")
                 return None
             found = await self._choose(decode, may_probe=number == 0)
             if found is None or (number > 0 and not self._may_retry()):
--- a/src/croftchute/forwarding/workers/worker_control.py
+++ b/src/croftchute/forwarding/workers/worker_control.py
@@ -172,7 +172,7 @@
 ) -> None:
     may_call = await _wait_until_rested(state, worker) and await state.permits.acquire(worker)
     if not may_call:
-        state.log.decide(kind, request_id=request_id, outcome="left to expire", worker=worker.id)
+        state.log.decide(kind, request_id=request_id, outcome="left to lapse", worker=worker.id)
         return
     try:
         status, _ = await control_call(state, worker, data, timeouts.CONNECT_TIMEOUT_S)
