--- a/src/croftchute/forwarding/boxes/peer_exchange.py
+++ b/src/croftchute/forwarding/boxes/peer_exchange.py
@@ -12,8 +12,11 @@
 from croftchute.errors import MessageError
 from croftchute.forwarding.decision_log import Decision
 from croftchute.forwarding.state import ForwardingState
+from croftchute.forwarding.workers.advice_recording import (
+    record_peer_leaving_advice,
+    record_peer_limit,
+)
 from croftchute.forwarding.workers.load_and_pace import record_peer_pace
-from croftchute.forwarding.workers.worker_signals import record_peer_leaving, record_peer_limit
 from croftchute.peers.codec import Codec, Envelope
 from croftchute.peers.messages import (
     AllowanceAsk,
@@ -256,7 +259,7 @@
             if entry.changing_s > 0.0:
                 self._hear_of_change(entry, now)
         for worker_id in notice.leaving_workers:
-            record_peer_leaving(self.state, worker_id, sender=sender)
+            record_peer_leaving_advice(self.state, worker_id, sender=sender)
         for limit in notice.limited_workers:
             record_peer_limit(self.state, limit, sender=sender)
         for pace in notice.paces:
--- a/src/croftchute/forwarding/workers/worker_signals.py
+++ b/src/croftchute/forwarding/workers/advice_recording.py
@@ -17,36 +17,34 @@
 from croftchute.tables.routing import Worker
 
 
-def record_signals(
-    state: ForwardingState, worker: Worker, head: ResponseHead, *, call: str
-) -> None:
+def record_advice(state: ForwardingState, worker: Worker, head: ResponseHead, *, call: str) -> None:
     """Record the advice in an answer; ``call`` names the kind of call for logs and metrics."""
-    wish = state.workers_speak.wish(head)
+    advice = state.workers_speak.wish(head)
     now = state.clock()
-    advice = state.workers.advice
-    if wish.is_leaving and advice.note_leaving(worker.id, now):
+    table = state.workers.advice
+    if advice.is_leaving and table.note_leaving(worker.id, now):
         state.metrics.wishes.inc({"wish": "leaving", "call": call})
         _log(state, Decision.WORKER_LEAVING, worker, head, call)
-    if wish.rest_s > 0.0:
-        advice.note_backoff(worker.id, wish.rest_s, now)
+    if advice.rest_s > 0.0:
+        table.note_backoff(worker.id, advice.rest_s, now)
         state.metrics.wishes.inc({"wish": "rest", "call": call})
-        _log(state, Decision.WORKER_RESTS, worker, head, call, rest_s=round(wish.rest_s, 3))
-    _note_limit(state, worker, head, wish, call=call)
+        _log(state, Decision.WORKER_RESTS, worker, head, call, rest_s=round(advice.rest_s, 3))
+    _note_limit(state, worker, head, advice, call=call)
 
 
 def _note_limit(
-    state: ForwardingState, worker: Worker, head: ResponseHead, wish: WorkerAdvice, *, call: str
+    state: ForwardingState, worker: Worker, head: ResponseHead, advice: WorkerAdvice, *, call: str
 ) -> None:
     """Record the rate limit that an answer states, or that it states none."""
     now = state.clock()
     limits = state.workers.limits
-    if wish.limit_per_s is None:
+    if advice.limit_per_s is None:
         is_its_own = state.workers_speak.verdict(head) is not Verdict.WRONG_WORKER
-        if limits.by_id and is_its_own and not wish.has_odd_limit:
+        if limits.by_id and is_its_own and not advice.has_odd_limit:
             limits.note_no_limit(worker.id, now)
-    elif limits.note_limit(worker.id, wish.limit_per_s, now):
+    elif limits.note_limit(worker.id, advice.limit_per_s, now):
         state.metrics.wishes.inc({"wish": "limit", "call": call})
-        _log(state, Decision.WORKER_LIMITED, worker, head, call, limit_per_s=wish.limit_per_s)
+        _log(state, Decision.WORKER_LIMITED, worker, head, call, limit_per_s=advice.limit_per_s)
         state.on_limit_news()
 
 
@@ -56,7 +54,7 @@
     state.log.decide(Decision.WORKER_DISPLACED, worker=worker.id, address=worker.address)
 
 
-def record_peer_leaving(state: ForwardingState, worker_id: str, *, sender: str) -> None:
+def record_peer_leaving_advice(state: ForwardingState, worker_id: str, *, sender: str) -> None:
     """Record a leaving worker that a peer reported; it gets no work, not even as a last resort.
 
     The store may be unavailable for long. Without the report, each box would have to lose a request
--- a/src/croftchute/forwarding/workers/completion_time_selector.py
+++ b/src/croftchute/forwarding/workers/completion_time_selector.py
@@ -179,7 +179,7 @@
         )
 
 
-def predict_reading_times(
+def estimate_prefill(
     end: PredictedEnd, decode: TrackedWorker, *, state: ForwardingState, prompt_tokens: int
 ) -> PrefillEstimate:
     """Predict the prefill times at the prefill worker of ``end`` and at the decode worker."""
--- a/src/croftchute/forwarding/workers/decode_reservation.py
+++ b/src/croftchute/forwarding/workers/decode_reservation.py
@@ -76,7 +76,7 @@
                 may_get_room = (
                     run.full_workers
                     or run.is_held_back
-                    or (is_begun and self._does_rest_end_soon())
+                    or (is_begun and self._does_backoff_end_soon())
                 )
                 if is_last_ask or not may_get_room:
                     return None
@@ -98,7 +98,7 @@
         pause_s = timeouts.room_poll_interval_s(
             run.route,
             run.state.ways.returns,
-            since_first_try_s=run.earlier_tries_s,
+            since_first_try_s=run.since_first_try_s,
             is_begun=is_begun,
         )
         return PollingWait(history=run.state.room(run.service), poll_s=pause_s)
@@ -108,7 +108,7 @@
         run = self.run
         return bool(run.state.workers.usable(run.service, run.now, stage=Stage.DECODE))
 
-    def _does_rest_end_soon(self) -> bool:
+    def _does_backoff_end_soon(self) -> bool:
         """Whether a decode worker's backoff ends within the wait of a begun stream."""
         return 0.0 < self.run.backoff_left_s <= timeouts.RESUME_WAIT_S
 
@@ -126,7 +126,7 @@
             time_left_s=run.time_left_s,
             reading_s=timing.prefill_s(run.facts.prompt_tokens),
             since_first_try_s=(
-                run.earlier_tries_s if run.state.ways.returns is ReturnMode.IN_TIME_FIRST else 0.0
+                run.since_first_try_s if run.state.ways.returns is ReturnMode.IN_TIME_FIRST else 0.0
             ),
         )
         if wait.is_worthwhile(run.route, mean_wait_s=mean_wait_s):
--- a/src/croftchute/forwarding/workers/plain_admission.py
+++ b/src/croftchute/forwarding/workers/plain_admission.py
@@ -48,10 +48,10 @@
     choice = plain_queue.choose_worker(
         loads_by_id,
         work_s=work_s,
-        target_left_s=run.route.target_s - run.earlier_tries_s - (run.now - run.started_at),
+        target_left_s=run.route.target_s - run.since_first_try_s - (run.now - run.started_at),
         time_left_s=run.time_left_s,
         is_last_try=run.deliveries > 0
-        or plain_queue.is_returning_caller(run.route, run.earlier_tries_s),
+        or plain_queue.is_returning_caller(run.route, run.since_first_try_s),
     )
     if choice is None:
         return None
--- a/src/croftchute/forwarding/workers/prompt_prefill.py
+++ b/src/croftchute/forwarding/workers/prompt_prefill.py
@@ -11,7 +11,7 @@
     ExchangeError,
 )
 from croftchute.forwarding.workers.completion_time_selector import (
-    predict_reading_times,
+    estimate_prefill,
     selects_by_completion_time,
 )
 from croftchute.forwarding.workers.load_and_pace import record_prefill_pace
@@ -109,13 +109,13 @@
         leaves_attempt = len(run.workers_sent_to) + 1 < run.route.max_attempts
         return run.deliveries == 0 or (leaves_attempt and run.spend_retry_budget())
 
-    def _reading_times(
+    def _estimate_prefill(
         self, prefill: TrackedWorker, chosen: ChoiceRecord, decode: TrackedWorker
     ) -> PrefillEstimate:
         run = self.run
         tokens = run.facts.prompt_tokens
         if chosen.end is not None:
-            return predict_reading_times(chosen.end, decode, state=run.state, prompt_tokens=tokens)
+            return estimate_prefill(chosen.end, decode, state=run.state, prompt_tokens=tokens)
         return PrefillEstimate.predict(
             prompt_tokens=tokens,
             timing=run.state.prefill_pace(run.service),
@@ -127,18 +127,18 @@
     ) -> bool:
         """Whether the prefill worker is reachable and its queue short enough to be faster."""
         run = self.run
-        times = self._reading_times(prefill, chosen, decode)
+        estimate = self._estimate_prefill(prefill, chosen, decode)
         is_unreachable = run.now < prefill.unreachable_until
-        if not is_unreachable and times.prefers_remote(target_s=run.route.target_s):
+        if not is_unreachable and estimate.prefers_remote(target_s=run.route.target_s):
             return True
         run.log(
             Decision.READ_AT_DECODE,
             outcome="prefill worker unreachable" if is_unreachable else "prefill queue too long",
             worker=decode.worker.id,
             prefill=prefill.worker.id,
-            wait_ms=round(times.wait_s * 1000),
-            ahead_ms=round(times.remote_s * 1000),
-            own_ms=round(times.local_s * 1000),
+            wait_ms=round(estimate.wait_s * 1000),
+            ahead_ms=round(estimate.remote_s * 1000),
+            own_ms=round(estimate.local_s * 1000),
             **(chosen.end.log_fields() if chosen.end is not None else {}),
         )
         return False
--- a/src/croftchute/forwarding/workers/request_run.py
+++ b/src/croftchute/forwarding/workers/request_run.py
@@ -51,7 +51,7 @@
         if facts.time_left_s is not None:
             limit = min(limit, facts.time_left_s)
         self.deadline_at = started_at + limit
-        self.earlier_tries_s = state.first_tries.since_first_try_s(
+        self.since_first_try_s = state.first_tries.since_first_try_s(
             route.name, facts.time_left_s, started_at
         )
         self.deliveries = 0
@@ -157,7 +157,7 @@
     def target_left_s(self) -> float:
         """Seconds left to start the prefill so that the answer begins within its target."""
         reading_s = self.state.prefill_pace(self.service).prefill_s(self.facts.prompt_tokens)
-        elapsed_s = self.earlier_tries_s + self.now - self.started_at
+        elapsed_s = self.since_first_try_s + self.now - self.started_at
         return self.route.target_s - elapsed_s - reading_s
 
     @property
--- a/src/croftchute/forwarding/workers/stage_coordinator.py
+++ b/src/croftchute/forwarding/workers/stage_coordinator.py
@@ -164,7 +164,7 @@
         tracked_workers = self._remaining_workers(service.name)
         counts = self.state.fleet_demand(service.name)
         timing = self.state.prefill_pace(service.name)
-        pending_stages = self._pending_stages() | self._resting_stages(tracked_workers)
+        pending_stages = self._pending_stages() | self._stages_in_backoff(tracked_workers)
         if self.split_way(service.name) is SplitMode.HEADROOM:
             now = self.state.clock()
             planner = self._planner_by_service.setdefault(service.name, HeadroomPlanner())
@@ -200,7 +200,7 @@
             b for b in workers.of_service(service) if not workers.advice.is_leaving(b.worker.id)
         ]
 
-    def _resting_stages(self, tracked_workers: list[TrackedWorker]) -> dict[str, Stage]:
+    def _stages_in_backoff(self, tracked_workers: list[TrackedWorker]) -> dict[str, Stage]:
         """Return the stages of workers in backoff; they count as they are but get no orders."""
         now = self.state.clock()
         advice = self.state.workers.advice
--- a/src/croftchute/forwarding/workers/stream_run.py
+++ b/src/croftchute/forwarding/workers/stream_run.py
@@ -109,7 +109,7 @@
             if len(run.workers_sent_to) >= run.route.max_attempts and (
                 found[0].worker.id not in run.workers_sent_to
             ):
-                self.progress.may_retry_at_once = self._are_prefill_workers_resting()
+                self.progress.may_retry_at_once = self._are_prefill_workers_in_backoff()
                 return
             if not run.spend_retry_budget():
                 return
@@ -121,7 +121,7 @@
             return True
         return progress.may_have_run and not self.run.route.may_repeat
 
-    def _are_prefill_workers_resting(self) -> bool:
+    def _are_prefill_workers_in_backoff(self) -> bool:
         """Whether only decode workers prefill, as the prefill workers are in backoff."""
         run = self.run
         return run.state.workers.backoff_left_s(run.service, run.now, stage=Stage.PREFILL) > 0.0
@@ -205,13 +205,13 @@
         run = self.run
         if source is not None:
             return timeouts.first_event_timeout_s(run.route, time_left_s=run.time_left_s)
-        times = PrefillEstimate.predict(
+        estimate = PrefillEstimate.predict(
             prompt_tokens=run.facts.prompt_tokens,
             timing=run.state.prefill_pace(run.service),
             wait_s=0.0,
         )
         return timeouts.decode_reading_timeout_s(
-            run.route, predicted_s=times.local_s, time_left_s=run.time_left_s
+            run.route, predicted_s=estimate.local_s, time_left_s=run.time_left_s
         )
 
     def _can_fail_over(self) -> bool:
--- a/src/croftchute/forwarding/workers/worker_call.py
+++ b/src/croftchute/forwarding/workers/worker_call.py
@@ -10,10 +10,10 @@
 from croftchute.forwarding.http.deadline import within
 from croftchute.forwarding.http.failures import AnswerLateError, CallerSlowError, ExchangeError
 from croftchute.forwarding.http.http_client import ClientConnection, ResponseHead
+from croftchute.forwarding.workers.advice_recording import record_advice, record_displaced
 from croftchute.forwarding.workers.crash_detection import check_after_broken_answer
 from croftchute.forwarding.workers.load_and_pace import record_answer_pace, record_load
 from croftchute.forwarding.workers.request_run import RequestRun
-from croftchute.forwarding.workers.worker_signals import record_displaced, record_signals
 from croftchute.systems import timeouts
 from croftchute.systems.tracked_worker import TrackedWorker
 from croftchute.systems.worker_choice import ChoiceRecord
@@ -130,7 +130,7 @@
         """Read the answer's head; raise AnswerLateError or ConnectionBrokenError."""
         assert self.connection is not None
         head = await within(self.connection.read_head(), timeout_s, "no head")
-        record_signals(self.run.state, self.worker, head, call=self._call_kind)
+        record_advice(self.run.state, self.worker, head, call=self._call_kind)
         record_load(self.run.state, self.worker, head)
         return head
 
--- a/src/croftchute/forwarding/workers/worker_control.py
+++ b/src/croftchute/forwarding/workers/worker_control.py
@@ -16,8 +16,8 @@
 from croftchute.forwarding.http.http_client import ResponseHead
 from croftchute.forwarding.permits import PermitRequest
 from croftchute.forwarding.state import ForwardingState
+from croftchute.forwarding.workers.advice_recording import record_advice, record_displaced
 from croftchute.forwarding.workers.load_and_pace import record_reported_pace
-from croftchute.forwarding.workers.worker_signals import record_displaced, record_signals
 from croftchute.systems import timeouts
 from croftchute.tables.routing import Stage, Worker
 
@@ -72,7 +72,7 @@
     try:
         connection.send(data, expected=None)
         head = await within(connection.read_head(), answer_s, "no head")
-        record_signals(state, worker, head, call="control")
+        record_advice(state, worker, head, call="control")
         record_reported_pace(state, worker, head)
         if state.workers_speak.verdict(head) is Verdict.WRONG_WORKER:
             record_displaced(state, worker)
@@ -170,7 +170,7 @@
 async def _release(
     state: ForwardingState, worker: Worker, data: bytes, kind: Decision, request_id: str
 ) -> None:
-    may_call = await _wait_until_rested(state, worker) and await state.permits.acquire(worker)
+    may_call = await _wait_for_backoff_end(state, worker) and await state.permits.acquire(worker)
     if not may_call:
         state.log.decide(kind, request_id=request_id, outcome="left to lapse", worker=worker.id)
         return
@@ -182,10 +182,10 @@
     state.log.decide(kind, request_id=request_id, outcome=outcome, worker=worker.id)
 
 
-async def _wait_until_rested(state: ForwardingState, worker: Worker) -> bool:
+async def _wait_for_backoff_end(state: ForwardingState, worker: Worker) -> bool:
     """Wait until a worker accepts calls again; False if its holds expire before that."""
-    while (rest_s := state.workers.advice.backoff_left_s(worker.id, state.clock())) > 0.0:
-        if rest_s > MAX_HOLD_S:
+    while (backoff_s := state.workers.advice.backoff_left_s(worker.id, state.clock())) > 0.0:
+        if backoff_s > MAX_HOLD_S:
             return False
-        await asyncio.sleep(rest_s)
+        await asyncio.sleep(backoff_s)
     return True
--- a/tests/forwarding/workers/test_stage_coordinator.py
+++ b/tests/forwarding/workers/test_stage_coordinator.py
@@ -102,7 +102,7 @@
     run(body)
 
 
-def test_leaving_and_resting_workers_get_no_order(monkeypatch):
+def test_leaving_workers_and_workers_in_backoff_get_no_order(monkeypatch):
     monkeypatch.setattr(stage_coordinator, "MIN_NEED_S", 0.0)
 
     async def body():
--- a/tests/systems/test_ranked_room_wait.py
+++ b/tests/systems/test_ranked_room_wait.py
@@ -126,7 +126,7 @@
     seen = []
     harness.on_sleep = lambda: seen.append(harness.state.ranked_room("llm").waiting_by_rank())
     run = harness.request(0, prompt=SHORT_PROMPT_TOKENS)
-    run.earlier_tries_s = 0.7
+    run.since_first_try_s = 0.7
     harness.reserve(run, [FULL] * 15 + [GRANTED])
     assert all(sum(waiting.values()) == 1 for waiting in seen)
     assert {0: 1} in seen and {6: 1} in seen
--- a/tests/systems/test_unordered_room.py
+++ b/tests/systems/test_unordered_room.py
@@ -36,7 +36,7 @@
         pause_s = timeouts.room_poll_interval_s(
             run.route,
             run.state.ways.returns,
-            since_first_try_s=run.earlier_tries_s,
+            since_first_try_s=run.since_first_try_s,
             is_begun=is_begun,
         )
         asked_at = run.now
@@ -49,7 +49,7 @@
                 if has_waited:
                     run.state.room(run.service).note_granted(run.now)
                 return found
-            may_come = run.full_workers or (is_begun and self._does_rest_end_soon())
+            may_come = run.full_workers or (is_begun and self._does_backoff_end_soon())
             if not may_come or not self._may_wait(asked_at, is_begun=is_begun):
                 return None
             await asyncio.sleep(pause_s)
@@ -70,7 +70,7 @@
             time_left_s=run.time_left_s,
             reading_s=timing.prefill_s(run.facts.prompt_tokens),
             since_first_try_s=(
-                run.earlier_tries_s if run.state.ways.returns is ReturnMode.IN_TIME_FIRST else 0.0
+                run.since_first_try_s if run.state.ways.returns is ReturnMode.IN_TIME_FIRST else 0.0
             ),
         )
         if wait.is_worthwhile(run.route, mean_wait_s=mean_wait_s):
