--- a/src/croftchute/daemon/router_process.py
+++ b/src/croftchute/daemon/router_process.py
@@ -132,7 +132,7 @@
         self.ingress = HttpIngress(
             handler=forwarder.handle,
             limits=state.limits,
-            turn_away=forwarder.turn_away,
+            turn_away=forwarder.refuse_while_stopping,
             clock=state.clock,
             held=self.held,
         )
--- a/src/croftchute/forwarding/boxes/worker_permits.py
+++ b/src/croftchute/forwarding/boxes/worker_permits.py
@@ -106,7 +106,7 @@
             known_for_s=now - named.reported_at,
             kept_back=min(MOST_KEPT_BACK, KEPT_BACK_A_RANK * permit_request.rank),
         )
-        allowance = await self.rates.take(self.group, want, patience_s=permit_request.patience_s)
+        allowance = await self.rates.take(self.group, want, patience_s=permit_request.max_wait_s)
         if allowance.is_granted:
             return True
         self._close(named, worker, allowance, permit_request)
--- a/src/croftchute/forwarding/callers/forwarder.py
+++ b/src/croftchute/forwarding/callers/forwarder.py
@@ -170,7 +170,7 @@
             detail = f"{run.facts.organisation} has reached its usage limit"
             run.refuse(Code.OVER_LIMIT, Ran.NOT_RUN, detail, expected_wait_s=allowance.wait_s)
 
-    async def turn_away(self, exchange: Exchange) -> None:
+    async def refuse_while_stopping(self, exchange: Exchange) -> None:
         """Refuse a request that arrived after this stopping process closed for new ones."""
         state = self.state
         try:
--- a/src/croftchute/forwarding/permits.py
+++ b/src/croftchute/forwarding/permits.py
@@ -12,12 +12,12 @@
 class PermitRequest:
     """The number of calls to permit, and the request's claim where permits are scarce.
 
-    ``patience_s`` is how long the request waits for a permit. ``rank`` is how many ranks the
+    ``max_wait_s`` is how long the request waits for a permit. ``rank`` is how many ranks the
     request is behind the most urgent ones of its service.
     """
 
     calls: int = 1
-    patience_s: float = 0.0
+    max_wait_s: float = 0.0
     rank: int = 0
     request_id: str = ""
 
--- a/src/croftchute/forwarding/workers/completion_time_selector.py
+++ b/src/croftchute/forwarding/workers/completion_time_selector.py
@@ -32,10 +32,10 @@
 
 def selects_by_completion_time(state: ForwardingState, service: str) -> bool:
     """Whether workers of a service are selected by predicted completion time."""
-    way = state.ways.placement
-    if way is PlacementMode.AUTO:
+    mode = state.ways.placement
+    if mode is PlacementMode.AUTO:
         return state.tells_pace(service)
-    return way is PlacementMode.BY_END
+    return mode is PlacementMode.BY_END
 
 
 class SelectionRequest(Protocol):
@@ -197,12 +197,12 @@
     now = state.clock()
     known = state.usual_times_by_service.get(service)
     if known is None or now - known.at >= USUAL_TIMES_TTL_S:
-        known = _usual_times(state, service, now)
+        known = _compute_usual_times(state, service, now)
         state.usual_times_by_service[service] = known
     return known
 
 
-def _usual_times(state: ForwardingState, service: str, now: float) -> UsualTimes:
+def _compute_usual_times(state: ForwardingState, service: str, now: float) -> UsualTimes:
     tracked_workers = state.workers.of_service(service)
     gaps = sorted(tracked.pause_s for tracked in tracked_workers if tracked.pause_s > 0.0)
     counts = state.fleet_demand(service)
--- a/src/croftchute/forwarding/workers/decode_reservation.py
+++ b/src/croftchute/forwarding/workers/decode_reservation.py
@@ -85,9 +85,9 @@
                         return None
                     is_last_ask = True
                     continue
-                pause_s = policy.pause_s(run.now)
-                await asyncio.sleep(pause_s)
-                policy.waited(pause_s, run.now)
+                interval_s = policy.poll_interval_s(run.now)
+                await asyncio.sleep(interval_s)
+                policy.waited(interval_s, run.now)
                 run.full_workers.clear()
 
     def _wait_policy(self, *, is_begun: bool) -> RoomWaitPolicy:
@@ -95,13 +95,13 @@
         run = self.run
         if not is_begun and run.is_ordered:
             return RankedWait(run=run, usage=self._usage)
-        pause_s = timeouts.room_poll_interval_s(
+        interval_s = timeouts.room_poll_interval_s(
             run.route,
             run.state.ways.returns,
             since_first_try_s=run.since_first_try_s,
             is_begun=is_begun,
         )
-        return PollingWait(history=run.state.room(run.service), poll_s=pause_s)
+        return PollingWait(history=run.state.room(run.service), interval_s=interval_s)
 
     def _has_worker(self) -> bool:
         """Whether any decode worker may be asked now."""
--- a/src/croftchute/forwarding/workers/plain_admission.py
+++ b/src/croftchute/forwarding/workers/plain_admission.py
@@ -32,7 +32,7 @@
     service = _probed_service(run)
     if service is None or run.connect_failures:
         return None
-    workers = [b for b in run.candidates(None) if b.worker.id not in run.avoid]
+    workers = [tracked for tracked in run.candidates(None) if tracked.worker.id not in run.avoid]
     if len(workers) < 2 or not plain_queue.is_busy(workers, run.now):
         return None
     asked = run.state.rng.sample(workers, min(MAX_PROBES, len(workers)))
@@ -57,7 +57,7 @@
         return None
     if choice.is_refused:
         return Admission(choice=choice, found=None)
-    tracked = next(b for b in asked if b.worker.id == choice.worker_id)
+    tracked = next(tracked for tracked in asked if tracked.worker.id == choice.worker_id)
     end = _predicted_end(choice, loads_by_id[choice.worker_id], work_s)
     described = replace(run.describe_choice(tracked, candidates=len(loads_by_id)), end=end)
     return Admission(choice=choice, found=(tracked, described))
--- a/src/croftchute/forwarding/workers/plain_run.py
+++ b/src/croftchute/forwarding/workers/plain_run.py
@@ -23,7 +23,7 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class WholeAnswer:
+class CompleteAnswer:
     """A complete worker answer, ready for the caller."""
 
     worker: str
@@ -36,7 +36,7 @@
 class PlainProgress:
     """The outcome of the attempts so far, and whether one of them may have run the request."""
 
-    last_answer: WholeAnswer | None = None
+    last_answer: CompleteAnswer | None = None
     may_have_run: bool = False
     code: Code = Code.NO_UPSTREAM
     detail: str = "no usable worker is known"
@@ -69,7 +69,7 @@
 
 async def _attempt(
     run: RequestRun, tracked: TrackedWorker, chosen: ChoiceRecord, progress: PlainProgress
-) -> WholeAnswer | None:
+) -> CompleteAnswer | None:
     send = Send(worker=tracked.worker, time_left_s=run.time_left_s, priority=run.priority)
     call = WorkerCall(run=run, tracked=tracked, send=send, chosen=chosen)
     try:
@@ -102,7 +102,7 @@
 
 async def _receive_answer(
     run: RequestRun, call: WorkerCall, head: ResponseHead, progress: PlainProgress
-) -> WholeAnswer | None:
+) -> CompleteAnswer | None:
     speak = run.state.workers_speak
     verdict = speak.verdict(head)
     body = await call.read_body(run.time_left_s)
@@ -112,7 +112,7 @@
         return None
     if verdict is Verdict.ANSWERED and not speak.is_genuine(head):
         raise ConnectionBrokenError("success response lacks proof that the worker sent it")
-    answer = WholeAnswer(
+    answer = CompleteAnswer(
         worker=call.worker.id,
         status=head.status,
         headers=speak.answer_headers(head),
@@ -128,12 +128,12 @@
     return answer
 
 
-def _implies_not_run(answer: WholeAnswer) -> bool:
+def _implies_not_run(answer: CompleteAnswer) -> bool:
     """Whether callers take the status to mean that nothing ran, which the answer does not state."""
     return answer.status in (408, 421, 429, 503)
 
 
-async def _send_answer(run: RequestRun, answer: WholeAnswer) -> None:
+async def _send_answer(run: RequestRun, answer: CompleteAnswer) -> None:
     run.first_byte_at = run.now
     run.exchange.send(answer.status, answer.headers, answer.body)
     await finish_answer(run, answer.status, answer.worker)
--- a/src/croftchute/forwarding/workers/prompt_cache_lookup.py
+++ b/src/croftchute/forwarding/workers/prompt_cache_lookup.py
@@ -33,7 +33,7 @@
         *(_fetch_cached_tokens(run, tracked, part) for tracked in usable)
     )
     tokens, worker_id = max(
-        zip(answers, (b.worker.id for b in usable), strict=True), default=(0, "")
+        zip(answers, (tracked.worker.id for tracked in usable), strict=True), default=(0, "")
     )
     run.log(
         Decision.KEEPER_ASKED,
--- a/src/croftchute/forwarding/workers/queue_gauges.py
+++ b/src/croftchute/forwarding/workers/queue_gauges.py
@@ -19,9 +19,9 @@
 def update_queue_gauges(state: ForwardingState, now: float) -> None:
     """Set the gauges of waiting requests, their mean wait and each worker's pace."""
     metrics = state.metrics
-    ordered = list(_queued_services(state))
-    replace_values(metrics.room_waiting, _waiting(state, ordered))
-    replace_values(metrics.room_wait, _mean_waits(state, ordered))
+    services = list(_queued_services(state))
+    replace_values(metrics.room_waiting, _waiting(state, services))
+    replace_values(metrics.room_wait, _mean_waits(state, services))
     replace_values(metrics.worker_pace, _paces(state, now))
 
 
--- a/src/croftchute/forwarding/workers/queue_reporting.py
+++ b/src/croftchute/forwarding/workers/queue_reporting.py
@@ -26,15 +26,15 @@
         return {}
     view = run.state.room_view(run.service)
     age_s = view.entry_age_s(run.now)
-    facts: dict[str, object] = {
+    fields: dict[str, object] = {
         "rank": run.rank,
         "room_rank": run.room_rank,
         "entry_rank": view.entry_rank(),
         "entry_age_s": None if age_s is None else round(age_s, 3),
     }
     if (share := run.share).is_scarce:
-        facts |= {"share": round(share.share, 3), "used": round(share.used, 3)}
-    return facts
+        fields |= {"share": round(share.share, 3), "used": round(share.used, 3)}
+    return fields
 
 
 def count_room_refusal(run: RequestRun, code: Code, ran: Ran) -> None:
--- a/src/croftchute/forwarding/workers/request_run.py
+++ b/src/croftchute/forwarding/workers/request_run.py
@@ -47,10 +47,10 @@
         self.route = route
         self.service = service
         self.started_at = started_at
-        limit = route.timeout_s
+        timeout_s = route.timeout_s
         if facts.time_left_s is not None:
-            limit = min(limit, facts.time_left_s)
-        self.deadline_at = started_at + limit
+            timeout_s = min(timeout_s, facts.time_left_s)
+        self.deadline_at = started_at + timeout_s
         self.since_first_try_s = state.first_tries.since_first_try_s(
             route.name, facts.time_left_s, started_at
         )
@@ -195,7 +195,9 @@
         if stage is Stage.DECODE:
             candidates = self._within_size_lane(candidates)
         if len(self.workers_sent_to) >= self.route.max_attempts:
-            candidates = [b for b in candidates if b.worker.id in self.workers_sent_to]
+            candidates = [
+                tracked for tracked in candidates if tracked.worker.id in self.workers_sent_to
+            ]
         return candidates
 
     def completion_time_selector(
@@ -232,8 +234,8 @@
     def has_other_worker(self, stage: Stage | None) -> bool:
         """Whether there is another worker than the last one that has not failed this request."""
         usable = self.state.workers.usable(self.service, self.now, stage=stage)
-        passed_over = self.avoid | {self.last_worker}
-        return any(tracked.worker.id not in passed_over for tracked in usable)
+        excluded_ids = self.avoid | {self.last_worker}
+        return any(tracked.worker.id not in excluded_ids for tracked in usable)
 
     def choice_context(self, stage: Stage | None, *, near: str = "") -> ChoiceContext:
         """Return what a choice of a worker depends on, apart from the workers themselves."""
@@ -260,26 +262,28 @@
         if state.workers.limits.limit_of(worker.id, self.now) is None:
             return True
         usable = state.workers.usable(self.service, self.now, stage=worker.stage)
-        others = [b for b in usable if b is not tracked and b.worker.id not in self.avoid]
+        others = [
+            other for other in usable if other is not tracked and other.worker.id not in self.avoid
+        ]
         advice = state.workers.advice
-        told_before = advice.active_advice(worker.id, self.now)
+        advice_before = advice.active_advice(worker.id, self.now)
         permit_request = self.permit_request(
-            calls=calls, patience_s=0.0 if others else self.time_left_s
+            calls=calls, max_wait_s=0.0 if others else self.time_left_s
         )
         may_call = await state.permits.acquire(worker, permit_request)
-        if may_call and advice.active_advice(worker.id, self.now) != told_before:
+        if may_call and advice.active_advice(worker.id, self.now) != advice_before:
             # The worker sent new advice during the wait for the permit, so choose again.
             state.permits.release(worker, calls)
             return False
         return may_call
 
-    def permit_request(self, *, calls: int = 1, patience_s: float = 0.0) -> PermitRequest:
+    def permit_request(self, *, calls: int = 1, max_wait_s: float = 0.0) -> PermitRequest:
         """Return the permit request for calls of a worker that states a rate limit."""
         rank = self.rank
         if not self.is_ordered:
             rank = max(0, rank - self.state.most_urgent(self.service))
         return PermitRequest(
-            calls=calls, patience_s=patience_s, rank=rank, request_id=self.facts.id
+            calls=calls, max_wait_s=max_wait_s, rank=rank, request_id=self.facts.id
         )
 
     def spend_retry_budget(self) -> bool:
@@ -387,8 +391,8 @@
         )
 
     def _crash_detail(self) -> str:
-        lives = self.state.crashes.crash_count(self.digest)
-        return f"{lives} workers crashed while running this request of the same caller"
+        crashes = self.state.crashes.crash_count(self.digest)
+        return f"{crashes} workers crashed while running this request of the same caller"
 
     def abort_answer(self, reason: str) -> None:
         """Abort an answer that has started, so that it can't be taken for a complete one."""
--- a/src/croftchute/forwarding/workers/room_wait_policy.py
+++ b/src/croftchute/forwarding/workers/room_wait_policy.py
@@ -22,7 +22,7 @@
         """Whether a request that is about to be refused asks one last time."""
         ...
 
-    def pause_s(self, now: float) -> float:
+    def poll_interval_s(self, now: float) -> float:
         """Return the seconds until the request checks again."""
         ...
 
@@ -42,9 +42,9 @@
 class PollingWait:
     """Asks at a fixed interval, regardless of other waiting requests."""
 
-    def __init__(self, *, history: RoomHistory, poll_s: float) -> None:
+    def __init__(self, *, history: RoomHistory, interval_s: float) -> None:
         self.history = history
-        self.poll_s = poll_s
+        self.interval_s = interval_s
         self._has_waited = False
 
     def may_ask(self, now: float) -> bool:
@@ -55,9 +55,9 @@
         """Return False: the request has asked every time."""
         return False
 
-    def pause_s(self, now: float) -> float:
+    def poll_interval_s(self, now: float) -> float:
         """Return the fixed interval."""
-        return self.poll_s
+        return self.interval_s
 
     def waited(self, seconds: float, now: float) -> None:
         """Add the wait to the forecast for all requests of the service."""
@@ -110,7 +110,7 @@
         self.usage = usage
         self.room = run.state.ranked_room(run.service)
         self._rank: int | None = None
-        self._had_last_chance = False
+        self._has_used_final_poll = False
         self._has_asked = False
         usage.asked(run.now)
 
@@ -118,32 +118,32 @@
         """Whether no more urgent rank waits too long; once before the target, in any case."""
         run = self.run
         count_over_share(run)
-        way = run.state.room_order(run.service)
-        if not run.state.room_view(run.service).holds_back(run.room_rank, way):
+        mode = run.state.room_order(run.service)
+        if not run.state.room_view(run.service).holds_back(run.room_rank, mode):
             self._has_asked = True
             return True
-        is_last_chance = 0.0 < run.target_left_s <= room_order.FINAL_POLL_LEAD_S
-        may_ask = is_last_chance and not self._had_last_chance
-        self._had_last_chance |= is_last_chance
+        is_final_poll = 0.0 < run.target_left_s <= room_order.FINAL_POLL_LEAD_S
+        may_ask = is_final_poll and not self._has_used_final_poll
+        self._has_used_final_poll |= is_final_poll
         return may_ask
 
     def may_ask_finally(self) -> bool:
         """Whether it has never asked: no rank is starved by the waits of more urgent ones."""
-        may_ask = not (self._has_asked or self._had_last_chance)
-        self._had_last_chance = True
+        may_ask = not (self._has_asked or self._has_used_final_poll)
+        self._has_used_final_poll = True
         return may_ask
 
-    def pause_s(self, now: float) -> float:
+    def poll_interval_s(self, now: float) -> float:
         """Return the pause of the request's rank, cut short at its last chance to be in time."""
         run = self.run
         self._count_as_waiting(run.room_rank)
         # A late request yields room to others, so its target does not shorten the pause.
         target_s = run.route.target_s if run.target_left_s > 0.0 else math.inf
-        pause_s = room_order.poll_interval_s(run.room_rank, target_s=target_s)
+        poll_interval_s = room_order.poll_interval_s(run.room_rank, target_s=target_s)
         left_s = run.target_left_s - room_order.FINAL_POLL_LEAD_S / 2
         if left_s <= 0.0:
-            return pause_s
-        return min(pause_s, max(room_order.MIN_POLL_INTERVAL_S, left_s))
+            return poll_interval_s
+        return min(poll_interval_s, max(room_order.MIN_POLL_INTERVAL_S, left_s))
 
     def waited(self, seconds: float, now: float) -> None:
         """Add the wait to the forecast for its rank and all less urgent ones."""
--- a/src/croftchute/forwarding/workers/stage_coordinator.py
+++ b/src/croftchute/forwarding/workers/stage_coordinator.py
@@ -165,7 +165,7 @@
         counts = self.state.fleet_demand(service.name)
         timing = self.state.prefill_pace(service.name)
         pending_stages = self._pending_stages() | self._stages_in_backoff(tracked_workers)
-        if self.split_way(service.name) is SplitMode.HEADROOM:
+        if self.split_mode(service.name) is SplitMode.HEADROOM:
             now = self.state.clock()
             planner = self._planner_by_service.setdefault(service.name, HeadroomPlanner())
             return planner.plan_changes(
@@ -186,18 +186,20 @@
         )
         return plan_stage_changes(tracked_workers, counts, capacity, pending_stages=pending_stages)
 
-    def split_way(self, service: str) -> SplitMode:
+    def split_mode(self, service: str) -> SplitMode:
         """Return how the service's engines are currently split between stages; never ``auto``."""
-        way = self.state.ways.split
-        if way is not SplitMode.AUTO:
-            return way
+        mode = self.state.ways.split
+        if mode is not SplitMode.AUTO:
+            return mode
         return SplitMode.HEADROOM if self.state.tells_pace(service) else SplitMode.FIXED_USE
 
     def _remaining_workers(self, service: str) -> list[TrackedWorker]:
         """Return the workers of a service that have not announced that they leave."""
         workers = self.state.workers
         return [
-            b for b in workers.of_service(service) if not workers.advice.is_leaving(b.worker.id)
+            tracked
+            for tracked in workers.of_service(service)
+            if not workers.advice.is_leaving(tracked.worker.id)
         ]
 
     def _stages_in_backoff(self, tracked_workers: list[TrackedWorker]) -> dict[str, Stage]:
@@ -214,7 +216,7 @@
     def _prefill_limit_s(self, table: RoutingTable, service: str) -> float:
         """Return the prefill time that a service aims for; 0 if its split ignores it."""
         targets = table.stream_targets(service)
-        if self.split_way(service) is not SplitMode.BY_TARGET or not targets:
+        if self.split_mode(service) is not SplitMode.BY_TARGET or not targets:
             return 0.0
         return PREFILL_SHARE_OF_TARGET * min(targets)
 
@@ -241,8 +243,8 @@
 
     def _min_need_s(self, change: StageChange) -> float:
         """Return the seconds for which a change must have been needed."""
-        is_patient = self.split_way(change.worker.service) is SplitMode.HEADROOM
-        if change.is_urgent or (change.stage is Stage.DECODE and not is_patient):
+        uses_headroom = self.split_mode(change.worker.service) is SplitMode.HEADROOM
+        if change.is_urgent or (change.stage is Stage.DECODE and not uses_headroom):
             return MIN_NEED_S
         return MIN_PREFILL_NEED_S
 
--- a/src/croftchute/forwarding/workers/worker_control.py
+++ b/src/croftchute/forwarding/workers/worker_control.py
@@ -33,7 +33,7 @@
 STATUS_OTHER_PROCESS = 421
 """Reported instead of an answer if the worker has restarted since the order was decided."""
 
-MAX_HOLD_S = 10.0
+MAX_HOLD_TTL_S = 10.0
 """Longest time in seconds that a worker keeps an unused hold or handle; the sites' data sheets say
 0.5 to 2. If a worker asked for a longer backoff, its holds and handles are left to expire."""
 
@@ -185,7 +185,7 @@
 async def _wait_for_backoff_end(state: ForwardingState, worker: Worker) -> bool:
     """Wait until a worker accepts calls again; False if its holds expire before that."""
     while (backoff_s := state.workers.advice.backoff_left_s(worker.id, state.clock())) > 0.0:
-        if backoff_s > MAX_HOLD_S:
+        if backoff_s > MAX_HOLD_TTL_S:
             return False
         await asyncio.sleep(backoff_s)
     return True
--- a/tests/forwarding/workers/test_queue_gauges.py
+++ b/tests/forwarding/workers/test_queue_gauges.py
@@ -14,7 +14,7 @@
 from croftchute.forwarding.workers.queue_gauges import update_queue_gauges
 
 
-def swept_metrics(box):
+def updated_metrics(box):
     """Update the gauges; return the box's metrics."""
     update_queue_gauges(box.state, box.state.clock())
     return box.state.metrics
@@ -30,16 +30,16 @@
     async def body():
         async with fleet(config=ordered_config()) as made:
             (box,), engine = await boxes_before_a_full_engine(made)
-            assert swept_metrics(box).room_waiting.get_all() == []
+            assert updated_metrics(box).room_waiting.get_all() == []
             asking = begin(box, "/calm/x", "calm")
             await is_waiting(box, r1=1)
-            metrics = swept_metrics(box)
+            metrics = updated_metrics(box)
             assert by_rank(metrics.room_waiting) == {"0": 0, "2": 1}
             assert by_rank(metrics.room_wait).keys() == {"0", "2"}
             assert b'croftchute_room_waiting{room_rank="2",service="llm"} 1' in metrics.text()
             await ran_in_all(engine, 1)
             assert (await asking).status == 200
-            assert by_rank(swept_metrics(box).room_waiting) == {"0": 0, "2": 0}
+            assert by_rank(updated_metrics(box).room_waiting) == {"0": 0, "2": 0}
 
     run(body)
 
@@ -52,12 +52,12 @@
             (box,), engine = await boxes_before_a_full_engine(made)
             asking = begin(box, "/calm/x", "calm")
             await is_waiting(box, r1=1)
-            assert swept_metrics(box).room_wait.get_all()
+            assert updated_metrics(box).room_wait.get_all()
             made.store.put("op/config", config(8))
             await until(lambda: box.state.table.version == 8)
             assert (
-                swept_metrics(box).room_wait.get_all()
-                == swept_metrics(box).room_waiting.get_all()
+                updated_metrics(box).room_wait.get_all()
+                == updated_metrics(box).room_waiting.get_all()
                 == []
             )
             await ran_in_all(engine, 1)
@@ -76,14 +76,14 @@
                 await made.add_worker(name)
             box = await made.add_box()
             await made.ready(box)
-            assert swept_metrics(box).worker_pace.get_all() == []
+            assert updated_metrics(box).worker_pace.get_all() == []
             for name in ("gone", "w2", "w3", "w4"):
                 box.state.paces.note_reported(name, 2.0, box.state.clock())
-            shown = swept_metrics(box).worker_pace.get_all()
+            shown = updated_metrics(box).worker_pace.get_all()
             assert [labels["worker"] for labels, _ in shown] == ["w2", "w3"]
             assert all(1.5 < value <= 2.0 for _, value in shown)
             box.state.paces.forget("w2")
-            shown = swept_metrics(box).worker_pace.get_all()
+            shown = updated_metrics(box).worker_pace.get_all()
             assert [labels["worker"] for labels, _ in shown] == ["w3", "w4"]
 
     run(body)
--- a/tests/forwarding/workers/test_stage_coordinator.py
+++ b/tests/forwarding/workers/test_stage_coordinator.py
@@ -174,7 +174,7 @@
                 box = await box_with_demand(made, monkeypatch, split)
                 box.state.paces.note_reported("d0", 1.0, box.state.clock())
                 box.state._tells_pace_by_service.clear()
-                assert box.orders.split_way("llm") is SplitMode.HEADROOM
+                assert box.orders.split_mode("llm") is SplitMode.HEADROOM
                 assert box.orders.find_changes() == []
 
     run(body)
--- a/tests/platform_adapter/test_resting_workers.py
+++ b/tests/platform_adapter/test_resting_workers.py
@@ -19,7 +19,7 @@
 from platform_fleet import ask, fleet, run, until
 from stream_fleet import PARTS, engines, prefer
 
-from croftchute.forwarding.workers.worker_control import MAX_HOLD_S, acquire_hold, release_hold
+from croftchute.forwarding.workers.worker_control import MAX_HOLD_TTL_S, acquire_hold, release_hold
 from croftchute.systems.timeouts import FULL_WORKER_BACKOFF_S
 
 REST_S = 5.0
@@ -154,7 +154,7 @@
             box, (decode, *_), _ = await engines(made)
             state = box.state
             hold = await acquire_hold(state, state.workers.tracked_by_id["d0"].worker, 10, 2.0)
-            state.workers.advice.note_backoff("d0", 2 * MAX_HOLD_S, state.clock())
+            state.workers.advice.note_backoff("d0", 2 * MAX_HOLD_TTL_S, state.clock())
             await release_hold(state, hold, "r1")
             assert [r.path for r in decode.received] == ["/hold-take"]
 
