--- a/src/croftchute/forwarding/callers/forwarder.py
+++ b/src/croftchute/forwarding/callers/forwarder.py
@@ -25,7 +25,7 @@
 
 STOPPING_RETRY_AFTER_S = 0.05
 """Seconds after which a caller of a stopping process may retry. By then the load balancer sends new
-connections to other processes. The retry is almost immediate, but no busy loop."""
+connections to other processes. The delay is short, but prevents a busy loop."""
 
 
 def stopping_log_fields(
@@ -171,7 +171,7 @@
             run.refuse(Code.OVER_LIMIT, Ran.NOT_RUN, detail, expected_wait_s=allowance.wait_s)
 
     async def refuse_while_stopping(self, exchange: Exchange) -> None:
-        """Refuse a request that arrived after this stopping process closed for new ones."""
+        """Refuse a request that arrived after this process stopped accepting new ones."""
         state = self.state
         try:
             request_id = state.callers.read(exchange.request).id
--- a/src/croftchute/forwarding/permits.py
+++ b/src/croftchute/forwarding/permits.py
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class PermitRequest:
-    """The number of calls to permit, and the request's claim where permits are scarce.
+    """The number of calls to permit, and how the request queues if permits are scarce.
 
     ``max_wait_s`` is how long the request waits for a permit. ``rank`` is how many ranks the
     request is behind the most urgent ones of its service.
@@ -31,7 +31,7 @@
     async def acquire(self, worker: Worker, permit_request: PermitRequest = ONE_CALL) -> bool:
         """Return whether the calls may be made now; without a limit they always may.
 
-        A worker whose limit is reached is closed in the worker table until it takes calls again.
+        A worker whose limit is reached is blocked in the worker table until it takes calls again.
         """
         ...
 
--- a/src/croftchute/forwarding/workers/advice_recording.py
+++ b/src/croftchute/forwarding/workers/advice_recording.py
@@ -1,4 +1,4 @@
-"""Records workers' advice: that they leave, ask for backoff or have a rate limit.
+"""Records workers' advice: that they are leaving, want a backoff or have a rate limit.
 
 Every answer may carry advice, whatever the call was.
 """
@@ -55,7 +55,7 @@
 
 
 def record_peer_leaving_advice(state: ForwardingState, worker_id: str, *, sender: str) -> None:
-    """Record a leaving worker that a peer reported; it gets no work, not even as a last resort.
+    """Record a leaving worker that a peer reported; it gets no work even if no other is usable.
 
     The store may be unavailable for long. Without the report, each box would have to lose a request
     at the worker to learn of it.
--- a/src/croftchute/forwarding/workers/answer_completion.py
+++ b/src/croftchute/forwarding/workers/answer_completion.py
@@ -10,8 +10,8 @@
 async def finish_answer(run: RequestRun, status: int, worker: str) -> None:
     """Wait until the caller has read the whole answer, then log and count it.
 
-    An answer that is not read before the caller's deadline is aborted. Where buffered bytes are not
-    bounded there is no wait.
+    An answer that is not read before the caller's deadline is aborted. Without a bound on buffered
+    bytes it does not wait.
     """
     exchange = run.exchange
     if exchange.has_unsent:
--- a/src/croftchute/forwarding/workers/chunk_reader.py
+++ b/src/croftchute/forwarding/workers/chunk_reader.py
@@ -49,7 +49,7 @@
             return chunk
 
     def mark_resumed(self) -> None:
-        """Restart the measured pause: reading was suspended, so the gap is not the worker's."""
+        """Restart the gap measurement: the router paused reading, so the worker caused no gap."""
         if self._last_chunk_at is not None:
             self._last_chunk_at = self.run.now
 
--- a/src/croftchute/forwarding/workers/completion_time_selector.py
+++ b/src/croftchute/forwarding/workers/completion_time_selector.py
@@ -71,7 +71,7 @@
     ) -> tuple[TrackedWorker, ChoiceRecord] | None:
         """Draw a plain or decode worker at random, weighted towards earlier completion.
 
-        Of many candidates only a sample is compared, as in choices by cost.
+        At most ``MAX_CANDIDATES`` workers are compared, as in a choice by cost.
         """
         left = self._without_avoided(candidates)
         if not left:
@@ -95,10 +95,11 @@
     async def select_prefill(
         self, candidates: Sequence[TrackedWorker], *, permit_request: PermitRequest | None
     ) -> tuple[TrackedWorker, ChoiceRecord] | None:
-        """Draw some prefill workers by speed, probe them, and return the earliest one.
+        """Sample prefill workers weighted by speed, probe their load, and return the earliest.
 
-        ``permit_request`` is used for the probes; None means that no probes are sent. Without any
-        probe answer the worker is drawn as in :meth:`select`.
+        The earliest is the one with the earliest predicted completion. ``permit_request`` is used
+        for the probes; None means that no probes are sent. Without any probe answer the worker is
+        drawn as in :meth:`select`.
         """
         state = self.state
         left = predicted_end.exclude_suspects(
@@ -119,7 +120,7 @@
                 state, service, drawn, PROBE_TIMEOUT_S, permit_request=permit_request
             )
         if not loads_by_id:
-            # With old data alone, too many boxes would pick the same one of the three workers.
+            # On stale loads alone, too many boxes would pick the same one of the sampled workers.
             return self.select(left)
         ends = self._predict_ends(drawn)
         return self._describe_choice(drawn, ends, predicted_end.earliest_end(ends))
@@ -182,7 +183,7 @@
 def estimate_prefill(
     end: PredictedEnd, decode: TrackedWorker, *, state: ForwardingState, prompt_tokens: int
 ) -> PrefillEstimate:
-    """Predict the prefill times at the prefill worker of ``end`` and at the decode worker."""
+    """Estimate the prefill times at the prefill worker of ``end`` and at the decode worker."""
     service = decode.worker.service
     timing = state.prefill_pace(service)
     pace = state.paces.estimate(decode.worker.id, WorkKind.TOKEN, state.clock())
--- a/src/croftchute/forwarding/workers/crash_detection.py
+++ b/src/croftchute/forwarding/workers/crash_detection.py
@@ -13,8 +13,8 @@
 from croftchute.tables.routing import Worker
 
 CONNECT_PROBE_TIMEOUT_S = 1.5
-"""Seconds until a connection must be open or refused: enough to resend one lost packet. Until then
-a crash counts as likely, which only matters to requests that have lost two workers already."""
+"""Time-out of a probe connection in seconds: long enough to resend one lost packet. Until the probe
+ends, a crash counts as likely, which only affects requests that have lost two workers already."""
 
 MAX_LOGGED_DIGESTS = 16
 """Most digests in one log line: more than a worker with eight slots runs for one box."""
--- a/src/croftchute/forwarding/workers/load_probe.py
+++ b/src/croftchute/forwarding/workers/load_probe.py
@@ -15,7 +15,8 @@
 from croftchute.tables.routing import Service
 
 PROBE_TIMEOUT_S = 0.03
-"""Seconds that a request waits for its probes: a few round trips, and little of any target."""
+"""Seconds that a request waits for its probes: a few round trips, and a small part of
+any target."""
 
 LATE_PROBE_TIMEOUT_S = 0.2
 """Seconds after which an unanswered probe is cancelled. A late answer still updates the load for
--- a/src/croftchute/forwarding/workers/plain_admission.py
+++ b/src/croftchute/forwarding/workers/plain_admission.py
@@ -1,4 +1,4 @@
-"""Admission of plain calls while their service has a queue, by freshly probed loads."""
+"""Admission of plain calls while their service has a queue, based on freshly probed loads."""
 
 from __future__ import annotations
 
@@ -21,14 +21,14 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Admission:
-    """The worker for a call by its fresh load; ``found`` is None if all would be late."""
+    """The worker chosen for a call; ``found`` is None if the call would be late at all workers."""
 
     choice: PlainChoice
     found: tuple[TrackedWorker, ChoiceRecord] | None
 
 
 async def admit(run: RequestRun) -> Admission | None:
-    """Place or refuse a plain call by fresh loads; None without a queue or without loads."""
+    """Admit or refuse a plain call; None if there is no queue or no load is known."""
     service = _probed_service(run)
     if service is None or run.connect_failures:
         return None
--- a/src/croftchute/forwarding/workers/plain_run.py
+++ b/src/croftchute/forwarding/workers/plain_run.py
@@ -129,7 +129,7 @@
 
 
 def _implies_not_run(answer: CompleteAnswer) -> bool:
-    """Whether callers take the status to mean that nothing ran, which the answer does not state."""
+    """Whether callers take the status to mean that nothing ran, which the worker did not state."""
     return answer.status in (408, 421, 429, 503)
 
 
--- a/src/croftchute/forwarding/workers/prompt_prefill.py
+++ b/src/croftchute/forwarding/workers/prompt_prefill.py
@@ -25,7 +25,7 @@
 from croftchute.tables.routing import Stage
 
 MAX_PREFILL_ATTEMPTS = 2
-"""Prefill workers asked for one prompt: a second one only if the first certainly ran nothing."""
+"""Most prefill workers tried for one prompt; a second one only if the first surely ran nothing."""
 
 HANDLE_USABLE_FRACTION = 0.8
 """Fraction of a handle's lifetime within which another decode worker may still fetch it."""
--- a/src/croftchute/forwarding/workers/request_run.py
+++ b/src/croftchute/forwarding/workers/request_run.py
@@ -238,7 +238,7 @@
         return any(tracked.worker.id not in excluded_ids for tracked in usable)
 
     def choice_context(self, stage: Stage | None, *, near: str = "") -> ChoiceContext:
-        """Return what a choice of a worker depends on, apart from the workers themselves."""
+        """Return the context of a choice of a worker: all inputs except the workers themselves."""
         full_tokens = 0
         if (engine := self.engine) is not None:
             is_prefill = stage is Stage.PREFILL
--- a/src/croftchute/forwarding/workers/room_wait_policy.py
+++ b/src/croftchute/forwarding/workers/room_wait_policy.py
@@ -23,7 +23,7 @@
         ...
 
     def poll_interval_s(self, now: float) -> float:
-        """Return the seconds until the request checks again."""
+        """Return the seconds until the request checks for room again."""
         ...
 
     def waited(self, seconds: float, now: float) -> None:
@@ -70,7 +70,7 @@
             self.history.note_granted(now)
 
     def close(self) -> None:
-        """Do nothing: no state outlives the wait."""
+        """Do nothing: the wait is not counted by rank."""
 
 
 class RequestUsage:
@@ -115,7 +115,10 @@
         usage.asked(run.now)
 
     def may_ask(self, now: float) -> bool:
-        """Whether no more urgent rank waits too long; once before the target, in any case."""
+        """Whether no more urgent rank holds this request back.
+
+        Shortly before its target the request asks once even if it is held back.
+        """
         run = self.run
         count_over_share(run)
         mode = run.state.room_order(run.service)
@@ -128,16 +131,16 @@
         return may_ask
 
     def may_ask_finally(self) -> bool:
-        """Whether it has never asked: no rank is starved by the waits of more urgent ones."""
+        """Whether the request has not asked yet, so that more urgent ranks cannot starve it."""
         may_ask = not (self._has_asked or self._has_used_final_poll)
         self._has_used_final_poll = True
         return may_ask
 
     def poll_interval_s(self, now: float) -> float:
-        """Return the pause of the request's rank, cut short at its last chance to be in time."""
+        """Return the poll interval of the request's rank, shortened to poll before its target."""
         run = self.run
         self._count_as_waiting(run.room_rank)
-        # A late request yields room to others, so its target does not shorten the pause.
+        # A late request yields room to others, so its target does not shorten the interval.
         target_s = run.route.target_s if run.target_left_s > 0.0 else math.inf
         poll_interval_s = room_order.poll_interval_s(run.room_rank, target_s=target_s)
         left_s = run.target_left_s - room_order.FINAL_POLL_LEAD_S / 2
--- a/src/croftchute/forwarding/workers/stage_coordinator.py
+++ b/src/croftchute/forwarding/workers/stage_coordinator.py
@@ -27,7 +27,7 @@
 """Seconds between two checks for needed stage changes."""
 
 MAX_FIRST_TRY_DELAY_S = 4.0
-"""Longest random delay before a box first tries for the lease, which spreads the boxes' tries."""
+"""Longest random delay in seconds before a box first tries for the lease, to spread the tries."""
 
 LEASE_KEY = "croftchute/stage-orders"
 
@@ -76,7 +76,7 @@
 second."""
 
 MAX_NEED_GAP_S = 1.5
-"""Longest gap in seconds between two sightings of a need; after a longer one it counts as new."""
+"""Longest time in seconds between two checks that find a need; after a longer one it is new."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
@@ -232,7 +232,7 @@
         return {worker_id: order.stage for worker_id, order in self._pending_orders.items()}
 
     def _is_sustained(self, change: StageChange) -> bool:
-        """Whether a change has been needed for long enough, as crashed workers come back."""
+        """Whether a change has been needed for long enough; most crashed workers restart soon."""
         key = (change.worker.service, change.stage)
         now = self.state.clock()
         first, last = self._need_seen_by_change.get(key, (now, now))
--- a/src/croftchute/forwarding/workers/worker_call.py
+++ b/src/croftchute/forwarding/workers/worker_call.py
@@ -205,7 +205,7 @@
         self._add_failure_score(weight, verdict.value, "")
 
     def record_cache_fetch_failure(self, source: PrefillHandle) -> None:
-        """Record that the worker could not fetch the prompt's cache; the source is to blame."""
+        """Record that the worker could not fetch the cached prompt, as a failure of its source."""
         workers = self.run.state.workers
         score = workers.note_failure(
             source.worker.id, FAILURE_SCORE_CACHE_NOT_FETCHED, self.run.now
--- a/src/croftchute/forwarding/workers/worker_restart.py
+++ b/src/croftchute/forwarding/workers/worker_restart.py
@@ -9,7 +9,7 @@
 
 
 def close_stale_connections(state: ForwardingState, worker: Worker, *, revision: int) -> None:
-    """Close all connections to the worker's earlier process; every call there has failed.
+    """Close all connections to the worker's earlier process, which fails the calls on them.
 
     That process has ended, so no answer will come. Requests that wait for one fail over at once,
     instead of after a time-out of seconds.
--- a/tests/forwarding/workers/test_stage_coordinator.py
+++ b/tests/forwarding/workers/test_stage_coordinator.py
@@ -90,7 +90,7 @@
 
 
 def test_only_a_worker_that_accepted_its_order_gets_no_work(monkeypatch):
-    """An unanswered order may be carried out much later or never, so its worker still gets work."""
+    """An unanswered order may take effect much later or never, so its worker still gets work."""
 
     async def body():
         for answer, is_passed_over in ((202, True), (AnswerLateError("no head"), False)):
@@ -166,7 +166,7 @@
 
 
 def test_services_with_reported_pace_are_split_by_headroom(monkeypatch):
-    """By headroom the same demand keeps both stages within their aims, so nothing is ordered."""
+    """At the same demand the headroom split finds no stage over its target and orders nothing."""
 
     async def body():
         for split in (SplitMode.AUTO, SplitMode.HEADROOM):
@@ -181,7 +181,7 @@
 
 
 def test_headroom_orders_wait_for_crashed_workers_to_return(monkeypatch):
-    """An order sent after 0.4 s, because workers crashed, could not be undone for 20 s."""
+    """Guards against an order 0.4 s after a crash, which could not be undone for 20 s."""
 
     async def body():
         async with fleet() as made:
