--- a/src/croftchute/forwarding/workers/advice_recording.py
+++ b/src/croftchute/forwarding/workers/advice_recording.py
@@ -29,10 +29,10 @@
         table.note_backoff(worker.id, advice.rest_s, now)
         state.metrics.wishes.inc({"wish": "rest", "call": call})
         _log(state, Decision.WORKER_RESTS, worker, head, call, rest_s=round(advice.rest_s, 3))
-    _note_limit(state, worker, head, advice, call=call)
+    _record_limit(state, worker, head, advice, call=call)
 
 
-def _note_limit(
+def _record_limit(
     state: ForwardingState, worker: Worker, head: ResponseHead, advice: WorkerAdvice, *, call: str
 ) -> None:
     """Record the rate limit that an answer states, or that it states none."""
--- a/src/croftchute/forwarding/workers/completion_time_selector.py
+++ b/src/croftchute/forwarding/workers/completion_time_selector.py
@@ -73,24 +73,24 @@
 
         At most ``MAX_CANDIDATES`` workers are compared, as in a choice by cost.
         """
-        left = self._without_avoided(candidates)
-        if not left:
+        eligible = self._without_avoided(candidates)
+        if not eligible:
             return None
         rng = self.state.rng
-        if len(left) > MAX_CANDIDATES:
+        if len(eligible) > MAX_CANDIDATES:
             affinity = self.request.facts.last_prompt_part if self.stage is Stage.DECODE else ""
-            left = (
-                rank_by_affinity(left, affinity)[:MAX_CANDIDATES]
+            eligible = (
+                rank_by_affinity(eligible, affinity)[:MAX_CANDIDATES]
                 if affinity
-                else rng.sample(left, MAX_CANDIDATES)
+                else rng.sample(eligible, MAX_CANDIDATES)
             )
-        ends = self._predict_ends(left)
+        ends = self._predict_ends(eligible)
         suspects = {
             tracked.worker.id
-            for tracked in left
+            for tracked in eligible
             if predicted_end.is_suspect(tracked, self.context, self.state.clock())
         }
-        return self._describe_choice(left, ends, predicted_end.draw_by_end(ends, suspects, rng))
+        return self._describe_choice(eligible, ends, predicted_end.draw_by_end(ends, suspects, rng))
 
     async def select_prefill(
         self, candidates: Sequence[TrackedWorker], *, permit_request: PermitRequest | None
@@ -102,15 +102,15 @@
         drawn as in :meth:`select`.
         """
         state = self.state
-        left = predicted_end.exclude_suspects(
+        eligible = predicted_end.exclude_suspects(
             self._without_avoided(candidates),
             context=self.context,
             now=state.clock(),
             least=predicted_end.PREFILL_CANDIDATES,
         )
-        speeds = {tracked.worker.id: self._pace(tracked).speed for tracked in left}
+        speeds = {tracked.worker.id: self._pace(tracked).speed for tracked in eligible}
         drawn = predicted_end.sample_by_speed(
-            left, speeds=speeds, count=predicted_end.PREFILL_CANDIDATES, rng=state.rng
+            eligible, speeds=speeds, count=predicted_end.PREFILL_CANDIDATES, rng=state.rng
         )
         table = state.table
         service = table.services_by_name.get(self.service) if table is not None else None
@@ -121,7 +121,7 @@
             )
         if not loads_by_id:
             # On stale loads alone, too many boxes would pick the same one of the sampled workers.
-            return self.select(left)
+            return self.select(eligible)
         ends = self._predict_ends(drawn)
         return self._describe_choice(drawn, ends, predicted_end.earliest_end(ends))
 
@@ -196,11 +196,11 @@
 def usual_times(state: ForwardingState, service: str) -> UsualTimes:
     """Return the usual times of a service, from the reports of all known boxes."""
     now = state.clock()
-    known = state.usual_times_by_service.get(service)
-    if known is None or now - known.at >= USUAL_TIMES_TTL_S:
-        known = _compute_usual_times(state, service, now)
-        state.usual_times_by_service[service] = known
-    return known
+    cached = state.usual_times_by_service.get(service)
+    if cached is None or now - cached.at >= USUAL_TIMES_TTL_S:
+        cached = _compute_usual_times(state, service, now)
+        state.usual_times_by_service[service] = cached
+    return cached
 
 
 def _compute_usual_times(state: ForwardingState, service: str, now: float) -> UsualTimes:
--- a/src/croftchute/forwarding/workers/plain_admission.py
+++ b/src/croftchute/forwarding/workers/plain_admission.py
@@ -94,10 +94,10 @@
 
 
 def _predicted_end(choice: PlainChoice, load: QueueLoad, work_s: float) -> PredictedEnd:
-    own_s = load.pace * work_s
+    worker_work_s = load.pace * work_s
     return PredictedEnd(
-        wait_s=max(0.0, choice.end_s - own_s),
-        work_s=own_s,
+        wait_s=max(0.0, choice.end_s - worker_work_s),
+        work_s=worker_work_s,
         pace=load.pace,
         pace_source=PaceSource.REPORTED,
         pace_age_s=0.0,
--- a/src/croftchute/forwarding/workers/stage_coordinator.py
+++ b/src/croftchute/forwarding/workers/stage_coordinator.py
@@ -316,7 +316,7 @@
             if status not in SUCCESS_STATUSES:
                 del self._pending_orders[worker_id]
             if status == STATUS_ACCEPTED:
-                self._note_changing(change)
+                self._record_stage_change(change)
         except ConnectFailedError as error:
             del self._pending_orders[worker_id]
             outcome = error.code.value
@@ -328,7 +328,7 @@
             planner.note_ordered(worker_id, change.stage, order.sent_at)
         self._log(outcome, change, held_lease)
 
-    def _note_changing(self, change: StageChange) -> None:
+    def _record_stage_change(self, change: StageChange) -> None:
         """Give the worker no work until it has changed; peers are told in notices."""
         table = self.state.table
         service = table.services_by_name.get(change.worker.service) if table is not None else None
--- a/src/croftchute/forwarding/workers/stream_run.py
+++ b/src/croftchute/forwarding/workers/stream_run.py
@@ -98,7 +98,7 @@
             )
         while run.time_left_s > 0.0 and not self._is_finished():
             found = await self.reservation.reserve()
-            self._note_refusal_cause()
+            self._record_refusal_cause()
             if found is None:
                 return
             source = await self.prefill.prefill_for(found[0])
@@ -126,7 +126,7 @@
         run = self.run
         return run.state.workers.backoff_left_s(run.service, run.now, stage=Stage.PREFILL) > 0.0
 
-    def _note_refusal_cause(self) -> None:
+    def _record_refusal_cause(self) -> None:
         """Keep the reason why no worker had room, for a refusal."""
         if self.reservation.code is not None:
             self.progress.code = self.reservation.code
