--- a/src/croftchute/forwarding/workers/completion_time_selector.py
+++ b/src/croftchute/forwarding/workers/completion_time_selector.py
@@ -32,10 +32,10 @@
 
 def selects_by_completion_time(state: ForwardingState, service: str) -> bool:
     """Whether workers of a service are selected by predicted completion time."""
-    way = state.ways.placement
-    if way is PlacementMode.AUTO:
+    mode = state.ways.placement
+    if mode is PlacementMode.AUTO:
         return state.tells_pace(service)
-    return way is PlacementMode.BY_END
+    return mode is PlacementMode.BY_END
 
 
 class SelectionRequest(Protocol):
@@ -71,45 +71,46 @@
     ) -> tuple[TrackedWorker, ChoiceRecord] | None:
         """Draw a plain or decode worker at random, weighted towards earlier completion.
 
-        Of many candidates only a sample is compared, as in choices by cost.
+        At most ``MAX_CANDIDATES`` workers are compared, as in a choice by cost.
         """
-        left = self._without_avoided(candidates)
-        if not left:
+        eligible = self._without_avoided(candidates)
+        if not eligible:
             return None
         rng = self.state.rng
-        if len(left) > MAX_CANDIDATES:
+        if len(eligible) > MAX_CANDIDATES:
             affinity = self.request.facts.last_prompt_part if self.stage is Stage.DECODE else ""
-            left = (
-                rank_by_affinity(left, affinity)[:MAX_CANDIDATES]
+            eligible = (
+                rank_by_affinity(eligible, affinity)[:MAX_CANDIDATES]
                 if affinity
-                else rng.sample(left, MAX_CANDIDATES)
+                else rng.sample(eligible, MAX_CANDIDATES)
             )
-        ends = self._predict_ends(left)
+        ends = self._predict_ends(eligible)
         suspects = {
             tracked.worker.id
-            for tracked in left
+            for tracked in eligible
             if predicted_end.is_suspect(tracked, self.context, self.state.clock())
         }
-        return self._describe_choice(left, ends, predicted_end.draw_by_end(ends, suspects, rng))
+        return self._describe_choice(eligible, ends, predicted_end.draw_by_end(ends, suspects, rng))
 
     async def select_prefill(
         self, candidates: Sequence[TrackedWorker], *, permit_request: PermitRequest | None
     ) -> tuple[TrackedWorker, ChoiceRecord] | None:
-        """Draw some prefill workers by speed, probe them, and return the earliest one.
+        """Sample prefill workers weighted by speed, probe their load, and return the earliest.
 
-        ``permit_request`` is used for the probes; None means that no probes are sent. Without any
-        probe answer the worker is drawn as in :meth:`select`.
+        The earliest is the one with the earliest predicted completion. ``permit_request`` is used
+        for the probes; None means that no probes are sent. Without any probe answer the worker is
+        drawn as in :meth:`select`.
         """
         state = self.state
-        left = predicted_end.exclude_suspects(
+        eligible = predicted_end.exclude_suspects(
             self._without_avoided(candidates),
             context=self.context,
             now=state.clock(),
             min_count=predicted_end.PREFILL_CANDIDATES,
         )
-        speeds = {tracked.worker.id: self._pace(tracked).speed for tracked in left}
+        speeds = {tracked.worker.id: self._pace(tracked).speed for tracked in eligible}
         drawn = predicted_end.sample_by_speed(
-            left, speeds=speeds, count=predicted_end.PREFILL_CANDIDATES, rng=state.rng
+            eligible, speeds=speeds, count=predicted_end.PREFILL_CANDIDATES, rng=state.rng
         )
         table = state.table
         service = table.services_by_name.get(self.service) if table is not None else None
@@ -119,8 +120,8 @@
                 state, service, drawn, PROBE_TIMEOUT_S, permit_request=permit_request
             )
         if not loads_by_id:
-            # With old data alone, too many boxes would pick the same one of the three workers.
-            return self.select(left)
+            # On stale loads alone, too many boxes would pick the same one of the sampled workers.
+            return self.select(eligible)
         ends = self._predict_ends(drawn)
         return self._describe_choice(drawn, ends, predicted_end.earliest_end(ends))
 
@@ -179,10 +180,10 @@
         )
 
 
-def predict_reading_times(
+def estimate_prefill(
     end: PredictedEnd, decode: TrackedWorker, *, state: ForwardingState, prompt_tokens: int
 ) -> PrefillEstimate:
-    """Predict the prefill times at the prefill worker of ``end`` and at the decode worker."""
+    """Estimate the prefill times at the prefill worker of ``end`` and at the decode worker."""
     service = decode.worker.service
     timing = state.prefill_pace(service)
     pace = state.paces.estimate(decode.worker.id, WorkKind.TOKEN, state.clock())
@@ -195,14 +196,14 @@
 def usual_times(state: ForwardingState, service: str) -> UsualTimes:
     """Return the usual times of a service, from the reports of all known boxes."""
     now = state.clock()
-    known = state.usual_times_by_service.get(service)
-    if known is None or now - known.at >= USUAL_TIMES_TTL_S:
-        known = _usual_times(state, service, now)
-        state.usual_times_by_service[service] = known
-    return known
+    cached = state.usual_times_by_service.get(service)
+    if cached is None or now - cached.at >= USUAL_TIMES_TTL_S:
+        cached = _compute_usual_times(state, service, now)
+        state.usual_times_by_service[service] = cached
+    return cached
 
 
-def _usual_times(state: ForwardingState, service: str, now: float) -> UsualTimes:
+def _compute_usual_times(state: ForwardingState, service: str, now: float) -> UsualTimes:
     tracked_workers = state.workers.of_service(service)
     gaps = sorted(tracked.pause_s for tracked in tracked_workers if tracked.pause_s > 0.0)
     counts = state.fleet_demand(service)
--- a/src/croftchute/forwarding/workers/decode_reservation.py
+++ b/src/croftchute/forwarding/workers/decode_reservation.py
@@ -76,7 +76,7 @@
                 may_get_room = (
                     run.full_workers
                     or run.is_held_back
-                    or (is_begun and self._does_rest_end_soon())
+                    or (is_begun and self._does_backoff_end_soon())
                 )
                 if is_last_ask or not may_get_room:
                     return None
@@ -85,9 +85,9 @@
                         return None
                     is_last_ask = True
                     continue
-                pause_s = policy.pause_s(run.now)
-                await asyncio.sleep(pause_s)
-                policy.waited(pause_s, run.now)
+                interval_s = policy.poll_interval_s(run.now)
+                await asyncio.sleep(interval_s)
+                policy.waited(interval_s, run.now)
                 run.full_workers.clear()
 
     def _wait_policy(self, *, is_begun: bool) -> RoomWaitPolicy:
@@ -95,20 +95,20 @@
         run = self.run
         if not is_begun and run.is_ordered:
             return RankedWait(run=run, usage=self._usage)
-        pause_s = timeouts.room_poll_interval_s(
+        interval_s = timeouts.room_poll_interval_s(
             run.route,
             run.state.ways.returns,
-            since_first_try_s=run.earlier_tries_s,
+            since_first_try_s=run.since_first_try_s,
             is_started=is_begun,
         )
-        return PollingWait(history=run.state.room(run.service), poll_s=pause_s)
+        return PollingWait(history=run.state.room(run.service), interval_s=interval_s)
 
     def _has_worker(self) -> bool:
         """Whether any decode worker may be asked now."""
         run = self.run
         return bool(run.state.workers.usable(run.service, run.now, stage=Stage.DECODE))
 
-    def _does_rest_end_soon(self) -> bool:
+    def _does_backoff_end_soon(self) -> bool:
         """Whether a decode worker's backoff ends within the wait of a begun stream."""
         return 0.0 < self.run.backoff_left_s <= timeouts.RESUME_WAIT_S
 
@@ -126,7 +126,7 @@
             time_left_s=run.time_left_s,
             reading_s=timing.prefill_s(run.facts.prompt_tokens),
             since_first_try_s=(
-                run.earlier_tries_s if run.state.ways.returns is ReturnMode.IN_TIME_FIRST else 0.0
+                run.since_first_try_s if run.state.ways.returns is ReturnMode.IN_TIME_FIRST else 0.0
             ),
         )
         if wait.is_worthwhile(run.route, mean_wait_s=mean_wait_s):
--- a/src/croftchute/forwarding/workers/plain_admission.py
+++ b/src/croftchute/forwarding/workers/plain_admission.py
@@ -1,4 +1,4 @@
-"""Admission of plain calls while their service has a queue, by freshly probed loads."""
+"""Admission of plain calls while their service has a queue, based on freshly probed loads."""
 
 from __future__ import annotations
 
@@ -21,18 +21,18 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Admission:
-    """The worker for a call by its fresh load; ``found`` is None if all would be late."""
+    """The worker chosen for a call; ``found`` is None if the call would be late at all workers."""
 
     choice: PlainChoice
     found: tuple[TrackedWorker, ChoiceRecord] | None
 
 
 async def admit(run: RequestRun) -> Admission | None:
-    """Place or refuse a plain call by fresh loads; None without a queue or without loads."""
+    """Admit or refuse a plain call; None if there is no queue or no load is known."""
     service = _probed_service(run)
     if service is None or run.connect_failures:
         return None
-    workers = [b for b in run.candidates(None) if b.worker.id not in run.avoid]
+    workers = [tracked for tracked in run.candidates(None) if tracked.worker.id not in run.avoid]
     if len(workers) < 2 or not plain_queue.is_busy(workers, run.now):
         return None
     asked = run.state.rng.sample(workers, min(MAX_PROBES, len(workers)))
@@ -48,16 +48,16 @@
     choice = plain_queue.choose_worker(
         loads_by_id,
         work_s=work_s,
-        target_left_s=run.route.target_s - run.earlier_tries_s - (run.now - run.started_at),
+        target_left_s=run.route.target_s - run.since_first_try_s - (run.now - run.started_at),
         time_left_s=run.time_left_s,
         is_last_try=run.deliveries > 0
-        or plain_queue.is_returning_caller(run.route, run.earlier_tries_s),
+        or plain_queue.is_returning_caller(run.route, run.since_first_try_s),
     )
     if choice is None:
         return None
     if choice.is_refused:
         return Admission(choice=choice, found=None)
-    tracked = next(b for b in asked if b.worker.id == choice.worker_id)
+    tracked = next(tracked for tracked in asked if tracked.worker.id == choice.worker_id)
     end = _predicted_end(choice, loads_by_id[choice.worker_id], work_s)
     described = replace(run.describe_choice(tracked, candidates=len(loads_by_id)), end=end)
     return Admission(choice=choice, found=(tracked, described))
@@ -94,10 +94,10 @@
 
 
 def _predicted_end(choice: PlainChoice, load: QueueLoad, work_s: float) -> PredictedEnd:
-    own_s = load.pace * work_s
+    worker_work_s = load.pace * work_s
     return PredictedEnd(
-        wait_s=max(0.0, choice.end_s - own_s),
-        work_s=own_s,
+        wait_s=max(0.0, choice.end_s - worker_work_s),
+        work_s=worker_work_s,
         pace=load.pace,
         pace_source=PaceSource.REPORTED,
         pace_age_s=0.0,
--- a/src/croftchute/forwarding/workers/prompt_cache_lookup.py
+++ b/src/croftchute/forwarding/workers/prompt_cache_lookup.py
@@ -33,11 +33,11 @@
         *(_fetch_cached_tokens(run, tracked, part) for tracked in usable)
     )
     tokens, worker_id = max(
-        zip(answers, (b.worker.id for b in usable), strict=True), default=(0, "")
+        zip(answers, (tracked.worker.id for tracked in usable), strict=True), default=(0, "")
     )
     run.log(
         Decision.KEEPER_ASKED,
-        outcome="found" if tokens > 0 else "not cached",
+        outcome="found" if tokens > 0 else "none keeps it",
         worker=worker_id if tokens > 0 else "",
         kept_tokens=tokens,
         workers_asked=len(usable),
--- a/src/croftchute/forwarding/workers/stage_coordinator.py
+++ b/src/croftchute/forwarding/workers/stage_coordinator.py
@@ -27,7 +27,7 @@
 """Seconds between two checks for needed stage changes."""
 
 MAX_FIRST_TRY_DELAY_S = 4.0
-"""Longest random delay before a box first tries for the lease, which spreads the boxes' tries."""
+"""Longest random delay in seconds before a box first tries for the lease, to spread the tries."""
 
 LEASE_KEY = "croftchute/stage-orders"
 
@@ -76,7 +76,7 @@
 second."""
 
 MAX_NEED_GAP_S = 1.5
-"""Longest gap in seconds between two sightings of a need; after a longer one it counts as new."""
+"""Longest time in seconds between two checks that find a need; after a longer one it is new."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
@@ -164,8 +164,8 @@
         tracked_workers = self._remaining_workers(service.name)
         counts = self.state.fleet_demand(service.name)
         timing = self.state.prefill_pace(service.name)
-        pending_stages = self._pending_stages() | self._resting_stages(tracked_workers)
-        if self.split_way(service.name) is SplitMode.HEADROOM:
+        pending_stages = self._pending_stages() | self._stages_in_backoff(tracked_workers)
+        if self.split_mode(service.name) is SplitMode.HEADROOM:
             now = self.state.clock()
             planner = self._planner_by_service.setdefault(service.name, HeadroomPlanner())
             return planner.plan_changes(
@@ -186,21 +186,23 @@
         )
         return plan_stage_changes(tracked_workers, counts, capacity, pending_stages=pending_stages)
 
-    def split_way(self, service: str) -> SplitMode:
+    def split_mode(self, service: str) -> SplitMode:
         """Return how the service's engines are currently split between stages; never ``auto``."""
-        way = self.state.ways.split
-        if way is not SplitMode.AUTO:
-            return way
+        mode = self.state.ways.split
+        if mode is not SplitMode.AUTO:
+            return mode
         return SplitMode.HEADROOM if self.state.tells_pace(service) else SplitMode.FIXED_USE
 
     def _remaining_workers(self, service: str) -> list[TrackedWorker]:
         """Return the workers of a service that have not announced that they leave."""
         workers = self.state.workers
         return [
-            b for b in workers.of_service(service) if not workers.advice.is_leaving(b.worker.id)
+            tracked
+            for tracked in workers.of_service(service)
+            if not workers.advice.is_leaving(tracked.worker.id)
         ]
 
-    def _resting_stages(self, tracked_workers: list[TrackedWorker]) -> dict[str, Stage]:
+    def _stages_in_backoff(self, tracked_workers: list[TrackedWorker]) -> dict[str, Stage]:
         """Return the stages of workers in backoff; they count as they are but get no orders."""
         now = self.state.clock()
         advice = self.state.workers.advice
@@ -214,7 +216,7 @@
     def _prefill_limit_s(self, table: RoutingTable, service: str) -> float:
         """Return the prefill time that a service aims for; 0 if its split ignores it."""
         targets = table.stream_targets(service)
-        if self.split_way(service) is not SplitMode.BY_TARGET or not targets:
+        if self.split_mode(service) is not SplitMode.BY_TARGET or not targets:
             return 0.0
         return PREFILL_SHARE_OF_TARGET * min(targets)
 
@@ -230,7 +232,7 @@
         return {worker_id: order.stage for worker_id, order in self._pending_orders.items()}
 
     def _is_sustained(self, change: StageChange) -> bool:
-        """Whether a change has been needed for long enough, as crashed workers come back."""
+        """Whether a change has been needed for long enough; most crashed workers restart soon."""
         key = (change.worker.service, change.stage)
         now = self.state.clock()
         first, last = self._need_seen_by_change.get(key, (now, now))
@@ -241,8 +243,8 @@
 
     def _min_need_s(self, change: StageChange) -> float:
         """Return the seconds for which a change must have been needed."""
-        is_patient = self.split_way(change.worker.service) is SplitMode.HEADROOM
-        if change.is_urgent or (change.stage is Stage.DECODE and not is_patient):
+        uses_headroom = self.split_mode(change.worker.service) is SplitMode.HEADROOM
+        if change.is_urgent or (change.stage is Stage.DECODE and not uses_headroom):
             return MIN_NEED_S
         return MIN_PREFILL_NEED_S
 
@@ -314,7 +316,7 @@
             if status not in SUCCESS_STATUSES:
                 del self._pending_orders[worker_id]
             if status == STATUS_ACCEPTED:
-                self._note_changing(change)
+                self._record_stage_change(change)
         except ConnectFailedError as error:
             del self._pending_orders[worker_id]
             outcome = error.code.value
@@ -326,7 +328,7 @@
             planner.note_ordered(worker_id, change.stage, order.sent_at)
         self._log(outcome, change, held_lease)
 
-    def _note_changing(self, change: StageChange) -> None:
+    def _record_stage_change(self, change: StageChange) -> None:
         """Give the worker no work until it has changed; peers are told in notices."""
         table = self.state.table
         service = table.services_by_name.get(change.worker.service) if table is not None else None
