--- a/src/croftchute/systems/predicted_end.py
+++ b/src/croftchute/systems/predicted_end.py
@@ -2,7 +2,8 @@
 
 The predicted end is in seconds from now: the wait, the work itself, and penalties. A plain or
 decode worker is drawn at random, and one with an earlier end is more likely. All boxes decide by
-the same reports, some hundred ms old, and would otherwise choose the same worker.
+the same reports, which are a few hundred ms old, so that always choosing the earliest end would
+make all boxes choose the same worker.
 """
 
 from __future__ import annotations
@@ -26,7 +27,11 @@
 
 
 class PlacementMode(StrEnum):
-    """How a worker is chosen; ``auto`` is by predicted end where workers report their pace."""
+    """How a worker is chosen.
+
+    ``auto`` chooses by predicted end if workers of the service report their pace, and by cost
+    otherwise.
+    """
 
     AUTO = "auto"
     BY_COST = "by_cost"
@@ -34,34 +39,35 @@
 
 
 OTHER_HALL_PENALTY_S = 0.01
-"""Time added for a worker in another hall: some round trips between halls."""
+"""Time added for a worker in another hall: a few network round trips between halls."""
 
 OVERDUE_MULTIPLE = 3.0
-"""Multiple of the usual time after which an open plain call is overdue. Slow workers mostly
-answer within it."""
+"""Multiple of the usual response time after which an unanswered plain call counts as overdue. Most
+slow workers still respond within it."""
 
 DRAW_EXPONENT = 3.0
-"""Exponent of 1 / predicted end in the probability of a draw. A worker with twice the time is
-drawn an eighth as often, which still finds a worker that has recovered."""
+"""The probability of drawing a worker is proportional to (1 / predicted end) to this power. A
+worker with twice the time is drawn an eighth as often, still often enough to notice its
+recovery."""
 
 MAX_SHARE_OVER_SPEED = 2.0
-"""Limit on the share of draws that a pace gives a worker, as a multiple of its share by speed.
-Without the limit, one fast worker among many slow ones would get three times that, and more once
-it slows down."""
+"""Limit on the share of draws that a worker gets because of its pace, as a multiple of its share of
+the total speed. Without the limit, one fast worker among many slow ones would get three times its
+share of the total speed, and more once it slows down."""
 
 MIN_WORK_S = 1e-6
-"""Least time assumed for work; keeps the weights finite."""
+"""Lower limit on the predicted work time, so that no weight is a division by zero."""
 
 SUSPECT_FAILURE_COST = 0.1
 """Failure cost, in full workers, from which a worker is drawn only if its end is the earliest.
-One failure at this box counts this much for 6.6 s."""
+The cost of a single failure at this box stays above this for 6.6 s."""
 
 PREFILL_CANDIDATES = 3
-"""Prefill workers that are compared for one prompt. More hardly improve the choice, and each
-costs a probe."""
+"""Number of prefill workers that are compared for one prompt. More would hardly improve the choice,
+and each costs a probe."""
 
 DEFAULT_STREAM_S = 2.0
-"""Duration of a stream that is assumed until one has ended."""
+"""Stream duration that is assumed until the first stream of the service has ended."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
@@ -88,7 +94,7 @@
 
 
 def is_suspect(tracked: TrackedWorker, context: ChoiceContext, now: float) -> bool:
-    """Return whether a worker failed so much that others are tried first."""
+    """Return whether the failure cost of a worker is at least ``SUSPECT_FAILURE_COST``."""
     return failure_cost(tracked, context, now) >= SUSPECT_FAILURE_COST
 
 
@@ -128,8 +134,9 @@
 ) -> PredictedEnd:
     """Predict the end of a stream at a decode worker.
 
-    Open streams and held tokens count as a wait: a full worker counts as one usual stream. An
-    engine that is probably full refuses the hold, and a request asks several engines for one hold.
+    Open streams and held tokens count as a wait: all slots taken, or all tokens held, is one usual
+    stream duration. A full engine probably refuses to hold memory for the request, which then has
+    to ask another engine.
     """
     stream_s = usual.stream_s or DEFAULT_STREAM_S
     peer_in_flight = other_boxes_load(tracked, context, now)
@@ -164,9 +171,9 @@
 ) -> PredictedEnd:
     """Predict the end of a prompt at a prefill worker.
 
-    The queue holds the prompts that the worker reported just now, and those of this box. Without a
-    recent report, an observed wait counts if it is longer: that of this box, or ``reported_wait_s``
-    from peers.
+    The wait is for the open prompts of this box and those of other boxes by the latest load report
+    of the worker. Without a recent report, it is at least the decayed wait observed at this
+    box, and at least ``reported_wait_s`` from peers.
     """
     own = len(tracked.queue.open_calls_by_request)
     prompts = own + tracked.other_boxes_running(now)
@@ -198,10 +205,10 @@
     count: int,
     rng: random.Random,
 ) -> list[TrackedWorker]:
-    """Draw some different candidates at random, in proportion to their speeds by worker id.
+    """Draw up to ``count`` candidates without replacement, weighted by ``speeds`` (by worker id).
 
-    Each candidate gets a random key. Their order is that of draws without replacement (Efraimidis
-    and Spirakis 2006).
+    Each candidate gets an exponentially distributed key with its speed as the rate. The candidates
+    with the smallest keys are a weighted sample (Efraimidis and Spirakis 2006).
     """
     keyed = [(rng.expovariate(speeds[b.worker.id]), n, b) for n, b in enumerate(candidates)]
     return [tracked for _, _, tracked in sorted(keyed, key=lambda entry: entry[:2])[:count]]
@@ -227,8 +234,8 @@
 def draw_by_end(ends: Mapping[str, PredictedEnd], suspects: set[str], rng: random.Random) -> str:
     """Draw one worker at random; an earlier end makes a worker more likely.
 
-    A suspect worker takes part only if its end is the earliest, failures included. As in choices by
-    cost, it gets nothing while other workers are free of failures.
+    A suspect worker is a candidate only if its end is the earliest, including its failure penalty.
+    As in choices by cost, it gets no requests while workers without failures are available.
     """
     earliest = earliest_end(ends)
     remaining = [w for w in ends if w not in suspects or w == earliest]
@@ -238,8 +245,9 @@
 def draw_weights(ends: Sequence[PredictedEnd]) -> list[float]:
     """Return the share of draws of each worker; the shares add up to 1.
 
-    All boxes share the same paces, so the share that a pace gives a worker is limited to a multiple
-    of its share by speed. Waits, overdue calls and failures can only lower a share.
+    All boxes know the same paces, so the share that a worker gets because of its pace is limited to
+    ``MAX_SHARE_OVER_SPEED`` times its share of the total speed. Waits, overdue calls and failures
+    reduce the weight of a worker relative to the others.
 
     >>> ends = [PredictedEnd(wait_s=wait_s, work_s=1) for wait_s in (0, 1)]
     >>> [round(weight, 3) for weight in draw_weights(ends)]
@@ -263,7 +271,7 @@
 
 
 def _capped(parts: Sequence[float], limits: Sequence[float]) -> list[float]:
-    """Limit each share; what is cut off goes to the other shares in proportion.
+    """Limit each share, and distribute the excess over the other shares in proportion to them.
 
     The limits must add up to more than 1.
     """
--- a/src/croftchute/systems/worker_pace.py
+++ b/src/croftchute/systems/worker_pace.py
@@ -1,8 +1,9 @@
 """Estimate how long work takes at each worker, relative to the usual time of its service.
 
-Three sources are weighted by their age: the pace that the worker reported, which holds for a
-moment; the times of its responses, observed here and at peers; and the prior that it is as fast as
-others. As the first two age, the prior gains weight, so that a worker that was slow is tried again.
+The estimate is a weighted mean of three sources: the pace that the worker reported, which is valid
+for a fraction of a second; the times of its responses, observed here and at peers; and the prior
+that it is as fast as others. The weights of the first two decay with their age, so that a worker
+that was slow is tried again.
 A reported pace has less weight where the responses contradict it.
 """
 
@@ -27,43 +28,48 @@
 """Half-life of a reported pace, which changes many times a second."""
 
 REPORTED_WEIGHT = 6.0
-"""Weight of a pace reported just now, in observed responses: the worker knows its own pace best."""
+"""Initial weight of a reported pace, as a number of observed responses: the worker knows its own
+pace best."""
 
 OBSERVED_HALF_LIFE_S_BY_KIND = {WorkKind.ANSWER: 0.5, WorkKind.PREFILL: 8.0, WorkKind.TOKEN: 8.0}
 """Half-life of an observed response, by kind of work. Plain responses come many times a second,
 so that a recovered worker is noticed soon. Prompts are few and expensive."""
 
 MAX_OBSERVED_WEIGHT = 4.0
-"""Limit on the weight of all observed responses together, so that a few new ones show a change."""
+"""Limit on the total weight of the observed responses, so that a few new ones suffice to show a
+change of pace."""
 
 PEER_WEIGHT_SHARE = 0.5
-"""Weight of an observation at a peer, relative to one at this box: peers use other links."""
+"""Weight of an observation at a peer, relative to one at this box: the network path from a peer to
+the worker is a different one."""
 
 PRIOR_WEIGHT = 1.0
-"""Weight of the prior, in observed responses."""
+"""Weight of the prior, as a number of observed responses."""
 
 MAX_REPORTED_PACE = 100.0
-"""Range of valid reported paces: up to this value and down to its inverse. Ten times
-``MAX_PACE`` still means a worker in trouble; beyond that the figure is in another unit."""
+"""Reported paces above this value or below its inverse are ignored. Up to ten times ``MAX_PACE`` is
+plausible for an overloaded worker; a higher value is probably in another unit."""
 
 MAX_OBSERVED_RATIO = 10_000.0
-"""The same range for observed times. A response after the longest timeouts of 14 s takes 2,800
-times the usual 5 ms of the fastest services."""
+"""Observed ratios above this value or below its inverse are ignored. A response after the
+longest timeouts of 14 s takes 2,800 times the usual 5 ms of the fastest services."""
 
 REPORTED_MEAN_HALF_LIFE_S = 8.0
-"""Half-life of the mean of reported paces. Work that outlasts a single report uses this mean,
-because some engines are slower than others for as long as they live."""
+"""Half-life of the mean of reported paces. Prefill and decode, which take longer than a report is
+valid, use this mean, because some engines are permanently slower than others."""
 
 MAX_REPORTED_MEAN_WEIGHT = 1.0
-"""Limit on the weight of that mean, in observed responses. It equals the prior, so that a worker
-that was slow is more than halfway back to the prior 2 s after its last report."""
+"""Limit on the weight of the mean of reported paces, as a number of observed responses. It equals
+the weight of the prior, so that the estimate of a worker that was slow is more than halfway back to
+the prior 2 s after its last report."""
 
 DUPLICATE_REPORT_S = 0.25
-"""A report from a peer counts again in the mean only if it is newer by this time. Notices repeat
-the same report every 0.5 s, and its age varies with the network delay."""
+"""A report from a peer is added to the mean of reported paces only if it is newer than the last one
+by more than this. Notices repeat the same report every 0.5 s, and its age varies with the network
+delay."""
 
 FRESH_REPORT_S = 0.3
-"""Age up to which a reported pace is compared with a response: its half-life."""
+"""Greatest age of a reported pace that is compared with a response; equals its half-life."""
 
 USUAL_DEVIATION = math.log(2.0)
 """Usual difference between the logarithms of reported and observed pace. Prompts vary by half,
@@ -77,17 +83,18 @@
 """Half-life of a deviation; several responses are observed in that time."""
 
 REPORT_TTL_S = 10.0
-"""Time for which a worker counts as one that reports its pace: streams last for some seconds."""
+"""Time after its last report for which a worker counts as one that reports its pace. It is longer
+than a stream of several seconds, during which a worker may send no report."""
 
 RECORD_TTL_S = 60.0
-"""Time without news after which the record of a worker is dropped; all weights have decayed by
-then."""
+"""Time without a report or an observation after which the record of a worker is dropped. Its
+weights have decayed by then."""
 
 MAX_NOTICES = 32
-"""Most workers in one notice; bounds the size of a datagram."""
+"""Maximum number of workers in the notices of one datagram; limits its size."""
 
 MIN_NOTICE_WEIGHT = 0.1
-"""Least weight of an observation that is sent to peers."""
+"""Minimum weight of an observation that is sent to peers."""
 
 
 @dataclass(kw_only=True, slots=True)
@@ -124,10 +131,10 @@
 
 @dataclass(kw_only=True, slots=True)
 class _WorkerRecord:
-    """What is known about one life of a worker.
+    """Reports and observations of one life of a worker, from its start to its end.
 
-    ``own_report`` is what the worker reported to this box, and is sent to peers; ``report`` may be
-    from a peer.
+    ``own_report`` is the latest report to this box, which is sent to peers; ``report`` is the
+    latest one to any box.
     """
 
     report: _Report = field(default_factory=_Report)
@@ -145,7 +152,7 @@
 
     @property
     def updated_at(self) -> float:
-        """Return the time of the newest figure from any source."""
+        """Return the time of the latest report or observation."""
         means = (*self.observed_by_kind.values(), *self.peer_by_kind.values())
         return max([self.report.at, *(mean.at for mean in means)])
 
@@ -166,7 +173,10 @@
 
 @dataclass(kw_only=True)
 class WorkerPaces:
-    """Paces of all workers, by the id of their life; a new life starts at the prior."""
+    """Paces of all workers by worker id.
+
+    The id changes when a worker restarts, so that a restarted worker starts at the prior.
+    """
 
     _by_id: dict[str, _WorkerRecord] = field(default_factory=dict)
 
@@ -197,7 +207,8 @@
     def apply_notice(self, notice: WorkerPaceNotice, kind: WorkKind, now: float) -> None:
         """Apply the notice of a peer about a worker.
 
-        Each notice repeats earlier observations, so that its weight is limited.
+        Each notice repeats earlier observations. Its weight is therefore halved if the mean of the
+        notices weighs more than it, and replaces that mean otherwise.
         """
         reported_log_pace = _log_pace(notice.told, max_pace=MAX_REPORTED_PACE)
         if reported_log_pace is not None and 0.0 <= notice.told_age_s < REPORT_TTL_S:
@@ -280,8 +291,8 @@
     def notices(self, now: float) -> tuple[WorkerPaceNotice, ...]:
         """Return the notices for peers about workers that report their pace.
 
-        They hold what was reported to this box and what it observed, newest first. Reports and
-        observations of peers are not passed on: they would come back and count again.
+        They contain the reports to this box and its own observations, newest first. Those of peers
+        are not forwarded: they would return to their sender and be counted twice.
         """
         self._expire_records(now)
         rows = [
@@ -295,7 +306,7 @@
         return tuple(notice for _, notice in newest)
 
     def _expire_records(self, now: float) -> None:
-        """Drop records without recent figures: the worker is idle, or its life ended."""
+        """Drop records without recent reports or observations, as of idle or ended workers."""
         expired = [
             key for key, record in self._by_id.items() if now - record.updated_at > RECORD_TTL_S
         ]
@@ -303,7 +314,7 @@
             del self._by_id[worker_id]
 
     def forget(self, worker_id: str) -> None:
-        """Drop the record of a worker whose life has ended."""
+        """Drop the record of a worker that has ended or restarted."""
         self._by_id.pop(worker_id, None)
 
 
--- a/src/croftchute/tables/paces.py
+++ b/src/croftchute/tables/paces.py
@@ -23,8 +23,8 @@
 class PaceSource(StrEnum):
     """The source with the largest weight in an estimate.
 
-    ``REPORTED`` is the worker itself, ``OBSERVED`` the responses at this box, ``PEERS`` the
-    responses at other boxes, and ``PRIOR`` the assumption of the usual pace.
+    ``REPORTED`` stands for paces that the worker reported, ``OBSERVED`` for response times at this
+    box, ``PEERS`` for response times at other boxes, and ``PRIOR`` for the assumed usual pace.
     """
 
     REPORTED = "told"
@@ -37,7 +37,8 @@
 class PaceEstimate:
     """The time of work at a worker, relative to the usual time: 2.0 takes twice as long.
 
-    ``age_s`` is the age of the newest report or observation; infinite if there is none.
+    ``age_s`` is the age of the latest report or observation from ``source``; it is infinite for the
+    prior.
     """
 
     factor: float
@@ -46,7 +47,7 @@
 
     @property
     def speed(self) -> float:
-        """Return the work done in the time of one usual piece of work.
+        """Return the speed relative to the usual one, which is the inverse of ``factor``.
 
         >>> PaceEstimate(factor=2.0, source=PaceSource.REPORTED, age_s=0.1).speed
         0.5
@@ -64,14 +65,13 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class PredictedEnd:
-    """When a worker would complete one more request, in seconds from now, by part.
+    """The predicted completion time of one more request at a worker, in seconds from now, by part.
 
     ``wait_s`` is for the requests ahead and ``work_s`` for the request itself, both at the pace of
-    the worker. ``overdue_s`` is how late the open calls of this box are there. The penalties only
-    rank workers: ``gap_penalty_s`` for too long gaps between tokens and ``failure_penalty_s`` for
-    recent failures. ``hall_penalty_s`` is the extra time of another hall. ``pace`` is 1.0 for the
-    usual time of work, and ``pace_age_s`` is the age of the newest report or observation behind it;
-    infinite if there is none.
+    the worker. ``overdue_s`` is how long open calls of this box are overdue there.
+    ``gap_penalty_s``, for too long gaps between tokens, and ``failure_penalty_s``, for recent
+    failures, only rank workers. ``hall_penalty_s`` is the extra time of another hall. ``pace``,
+    ``pace_source`` and ``pace_age_s`` are those of the ``PaceEstimate`` used.
     """
 
     wait_s: float
@@ -96,7 +96,7 @@
 
     @property
     def total_s(self) -> float:
-        """Return the time by which workers are compared."""
+        """Return the sum of all parts, by which workers are ranked."""
         return (
             self.wait_s
             + self.work_s
--- a/tests/systems/test_predicted_end.py
+++ b/tests/systems/test_predicted_end.py
@@ -1,4 +1,4 @@
-"""Predicted ends of requests at workers; boxes with the same reports do not herd."""
+"""Predicted ends of requests, and draws by them that don't send all requests to one worker."""
 
 import heapq
 import math
@@ -119,7 +119,7 @@
 
 
 def test_the_load_of_a_decode_worker_counts_in_full_workers():
-    """Guards against asking engines for holds that are known to be full."""
+    """Guards against asking engines that are known to be full to hold memory for a stream."""
     known = tracked(slots=8, stage=Stage.DECODE)
     known.in_flight, known.tokens_in_flight = 2, 5_000
     context = ChoiceContext(zone="near", peers=PeerTable(own_id="me"), kv_tokens=20_000)
@@ -156,7 +156,7 @@
 
 
 def test_another_hall_costs_some_round_trips():
-    """Guards against work that leaves the hall without a gain."""
+    """Guards against sending requests to another hall that would not complete earlier there."""
     assert plain(tracked(zone="far")).hall_penalty_s == predicted_end.OTHER_HALL_PENALTY_S
     assert plain(tracked()).hall_penalty_s == 0.0
 
@@ -173,7 +173,7 @@
 
 
 def test_a_predicted_end_logs_its_parts():
-    """Guards against choices without an explanation, and an infinite age that JSON cannot hold."""
+    """Guards against missing parts in the log, and an infinite age, which JSON can't represent."""
     facts = PredictedEnd(wait_s=0.1, work_s=0.2, gap_penalty_s=0.9).log_fields()
     assert facts["end_ms"] == 1200.0
     assert facts["end_wait_ms"] == 100.0
@@ -206,7 +206,7 @@
 
 
 def test_the_earliest_end_is_chosen():
-    """Guards against a part that is missing from the comparison."""
+    """Guards against a comparison that leaves out a part, such as the failure penalty."""
     ends = {"a": end(0.2), "b": PredictedEnd(wait_s=0.0, work_s=0.1, failure_penalty_s=0.2)}
     assert earliest_end(ends) == "a"
 
@@ -269,7 +269,7 @@
     assert len(exclude_suspects([known, sound], context=CONTEXT, now=10.0, min_count=3)) == 2
 
 
-# Herding: boxes that choose by the same reports, half a second old.
+# Load distribution when all boxes choose by the same reports, which are 0.5 s old.
 
 REPORT_AGE_S = 0.5
 USUAL_S = 0.1
@@ -287,7 +287,7 @@
 
 
 def draw_in_use(ends, speeds, rng):
-    """The draw that the module uses."""
+    """Draw as ``draw_by_end`` does without suspects."""
     return draw_by_end(ends, set(), rng)
 
 
@@ -354,7 +354,7 @@
 @pytest.mark.parametrize("boxes", [8, 87, 360])
 @pytest.mark.parametrize("change", CHANGES)
 def test_no_worker_exceeds_three_times_its_share_by_speed_after_a_change(boxes, change):
-    """Guards against all boxes choosing the worker that the same old reports call the fastest."""
+    """Guards against all boxes choosing the worker that was the fastest by outdated reports."""
     before, after = CHANGES[change]
     found = max_share_ratio(draw_in_use, boxes=boxes, before=before, after=after, seed=1)
     assert found <= BOUND
@@ -384,7 +384,7 @@
 
 
 def max_prompt_share_ratio(*, boxes, before, after, answered):
-    """Return the same ratio for prompts, over all runs.
+    """Return the highest ratio of a worker's share of prompts to its share by speed, over all runs.
 
     A share ``answered`` of the probes returns pace and load. A worker prefills one prompt after the
     other. A round trip lies between the probes and the arrival of the prompt, and other boxes send
@@ -442,7 +442,7 @@
 @pytest.mark.parametrize("answered", [1.0, 0.5, 0.0])
 @pytest.mark.parametrize("change", CHANGES)
 def test_no_prefill_worker_exceeds_three_times_its_share_of_prompts(boxes, answered, change):
-    """Guards against prompts that all go to the worker that old reports call the fastest.
+    """Guards against sending all prompts to the worker that was the fastest by outdated reports.
 
     Choosing the earliest of three by old reports alone, without any answered probe, gave a worker
     4.7 times its share.
--- a/tests/systems/test_worker_pace.py
+++ b/tests/systems/test_worker_pace.py
@@ -1,4 +1,4 @@
-"""Paces of workers: figures are weighted by source and age, and invalid ones are ignored."""
+"""Estimates of worker paces: inputs are weighted by source and age; invalid ones are ignored."""
 
 import math
 
@@ -52,7 +52,7 @@
 
 @given(invalid)
 def test_an_invalid_pace_changes_nothing(value):
-    """Guards against one invalid figure that sends no requests to a worker, or all of them."""
+    """Guards against an invalid pace that makes a worker get no requests, or all of them."""
     paces, now = known(), 10.1
     before = estimates(paces, now), paces.notices(now)
     paces.note_reported("w", value, now)
@@ -84,7 +84,7 @@
 
 @given(invalid)
 def test_invalid_figures_create_no_record(value):
-    """Guards against state that grows by ignored figures."""
+    """Guards against memory growth caused by ignored input."""
     paces = WorkerPaces()
     paces.note_reported("w", value, 0.0)
     paces.note_observed("w", WorkKind.TOKEN, value, 0.0)
@@ -182,7 +182,7 @@
 
 @given(reported_paces, kinds)
 def test_observations_decay_to_the_prior(pace, kind):
-    """Guards against a pace that lasts as long as nobody asks the worker."""
+    """Guards against an estimate that stays the same while a worker gets no requests."""
     paces = WorkerPaces()
     for _ in range(20):
         paces.note_observed("w", kind, pace, 0.0)
@@ -213,7 +213,7 @@
 
 
 def test_an_older_report_does_not_replace_a_newer_one():
-    """Guards against a notice of a peer from before a change of the worker."""
+    """Guards against a delayed peer notice that replaces a newer report."""
     paces = WorkerPaces()
     paces.note_reported("w", 1.0, 10.0)
     paces.apply_notice(notice(told=9.0, age=0.4), WorkKind.ANSWER, 10.1)
@@ -252,7 +252,7 @@
 
 
 def test_trust_recovers():
-    """Guards against a worker whose reports count nothing for good after it was wrong."""
+    """Guards against ignoring the reports of a worker permanently after some wrong ones."""
     paces = WorkerPaces()
     for number in range(100):
         now = 0.2 * number
@@ -321,7 +321,7 @@
 
 
 def test_an_observation_of_a_peer_counts_half_of_an_own_one():
-    """Guards against the links of peers deciding the estimate of this box."""
+    """Guards against estimates dominated by the network delays of peers."""
     here, there = WorkerPaces(), WorkerPaces()
     here.note_observed("w", WorkKind.PREFILL, 5.0, 0.0)
     there.apply_notice(notice(seen=5.0, weight=1.0), WorkKind.PREFILL, 0.0)
@@ -330,7 +330,7 @@
 
 
 def test_notices_cover_the_workers_updated_last():
-    """Guards against a datagram that grows with the fleet."""
+    """Guards against a datagram that grows with the number of workers."""
     paces = WorkerPaces()
     for number in range(500):
         paces.note_reported(f"w{number}", 1.6, 0.001 * number)
@@ -363,7 +363,7 @@
 @pytest.mark.parametrize("reports_pace", [True, False])
 @pytest.mark.parametrize("seed", range(8))
 def test_a_slow_worker_gets_a_sixth_at_most_and_recovers_its_share_soon(seed, reports_pace):
-    """Guards against overloading slow workers, and against idle ones after they recover."""
+    """Guards against overloading a slow worker, and against leaving it idle once it recovered."""
     simulation = PaceSimulation(seed=seed, reports_pace=reports_pace).run()
     slow_until = SLOW_START_S + SLOW_DURATION_S
     assert simulation.first_slow_at is not None
