--- a/src/croftchute/systems/predicted_end.py
+++ b/src/croftchute/systems/predicted_end.py
@@ -175,19 +175,19 @@
     of the worker. Without a recent report, it is at least the decayed wait observed at this
     box, and at least ``reported_wait_s`` from peers.
     """
-    own = len(tracked.queue.open_calls_by_request)
-    prompts = own + tracked.other_boxes_running(now)
+    own_prompts = len(tracked.queue.open_calls_by_request)
+    prompts = own_prompts + tracked.other_boxes_running(now)
     wait_s = prompts * usual.prompt_s * pace.factor
     if now - tracked.load_at > LOAD_TTL_S:
         wait_s = max(wait_s, reported_wait_s, tracked.queue.decayed_observed_wait_s(now))
     work_s = timing.prefill_s(prompt_tokens)
-    failed_s = max(work_s, usual.prompt_s, usual.full_queue_s)
+    full_worker_s = max(work_s, usual.prompt_s, usual.full_queue_s)
     return PredictedEnd(
         wait_s=wait_s,
         work_s=work_s * pace.factor,
         overdue_s=tracked.queue.overdue_s(timing=timing, now=now),
         hall_penalty_s=_hall_penalty_s(tracked, context),
-        failure_penalty_s=failed_s * failure_cost(tracked, context, now),
+        failure_penalty_s=full_worker_s * failure_cost(tracked, context, now),
         pace=pace.factor,
         pace_source=pace.source,
         pace_age_s=pace.age_s,
@@ -210,7 +210,10 @@
     Each candidate gets an exponentially distributed key with its speed as the rate. The candidates
     with the smallest keys are a weighted sample (Efraimidis and Spirakis 2006).
     """
-    keyed = [(rng.expovariate(speeds[b.worker.id]), n, b) for n, b in enumerate(candidates)]
+    keyed = [
+        (rng.expovariate(speeds[tracked.worker.id]), n, tracked)
+        for n, tracked in enumerate(candidates)
+    ]
     return [tracked for _, _, tracked in sorted(keyed, key=lambda entry: entry[:2])[:count]]
 
 
@@ -218,7 +221,7 @@
     candidates: Sequence[TrackedWorker], *, context: ChoiceContext, now: float, min_count: int
 ) -> list[TrackedWorker]:
     """Return the candidates that are not suspect, or all if fewer than ``min_count`` are left."""
-    trusted = [b for b in candidates if not is_suspect(b, context, now)]
+    trusted = [tracked for tracked in candidates if not is_suspect(tracked, context, now)]
     return trusted if len(trusted) >= min_count else list(candidates)
 
 
@@ -253,14 +256,14 @@
     >>> [round(weight, 3) for weight in draw_weights(ends)]
     [0.889, 0.111]
     """
-    works = [max(MIN_WORK_S, end.work_s) for end in ends]
-    speeds = _normalized([1.0 / work_s for work_s in works])
-    by_work = _normalized([speed**DRAW_EXPONENT for speed in speeds])
-    by_work = _capped(by_work, [MAX_SHARE_OVER_SPEED * speed for speed in speeds])
+    work_times_s = [max(MIN_WORK_S, end.work_s) for end in ends]
+    speeds = _normalized([1.0 / work_s for work_s in work_times_s])
+    shares = _normalized([speed**DRAW_EXPONENT for speed in speeds])
+    shares = _capped(shares, [MAX_SHARE_OVER_SPEED * speed for speed in speeds])
     return _normalized(
         [
-            part * (work_s / max(work_s, end.total_s)) ** DRAW_EXPONENT
-            for part, work_s, end in zip(by_work, works, ends, strict=True)
+            share * (work_s / max(work_s, end.total_s)) ** DRAW_EXPONENT
+            for share, work_s, end in zip(shares, work_times_s, ends, strict=True)
         ]
     )
 
@@ -270,17 +273,20 @@
     return [weight / total for weight in weights]
 
 
-def _capped(parts: Sequence[float], limits: Sequence[float]) -> list[float]:
+def _capped(shares: Sequence[float], limits: Sequence[float]) -> list[float]:
     """Limit each share, and distribute the excess over the other shares in proportion to them.
 
     The limits must add up to more than 1.
     """
     capped: set[int] = set()
     while True:
-        left = 1.0 - sum(limits[n] for n in capped)
-        free = sum(part for n, part in enumerate(parts) if n not in capped)
-        shares = [limits[n] if n in capped else left * part / free for n, part in enumerate(parts)]
-        over = {n for n, part in enumerate(shares) if n not in capped and part > limits[n]}
-        if not over:
-            return shares
-        capped |= over
+        remaining = 1.0 - sum(limits[n] for n in capped)
+        uncapped_total = sum(share for n, share in enumerate(shares) if n not in capped)
+        result = [
+            limits[n] if n in capped else remaining * share / uncapped_total
+            for n, share in enumerate(shares)
+        ]
+        over_limit = {n for n, share in enumerate(result) if n not in capped and share > limits[n]}
+        if not over_limit:
+            return result
+        capped |= over_limit
--- a/tests/systems/test_predicted_end.py
+++ b/tests/systems/test_predicted_end.py
@@ -54,13 +54,15 @@
     return PaceEstimate(factor=factor, source=PaceSource.REPORTED, age_s=age_s)
 
 
-def plain(known, *, factor=1.0, now=10.0, context=CONTEXT):
-    return predict_plain_end(known, usual_s=0.1, context=context, pace=pace(factor), now=now)
+def plain(tracked_worker, *, factor=1.0, now=10.0, context=CONTEXT):
+    return predict_plain_end(
+        tracked_worker, usual_s=0.1, context=context, pace=pace(factor), now=now
+    )
 
 
-def decode(known, *, factor=1.0, target_gap_s=0.3, context=CONTEXT):
+def decode(tracked_worker, *, factor=1.0, target_gap_s=0.3, context=CONTEXT):
     return predict_decode_end(
-        known,
+        tracked_worker,
         usual=USUAL,
         target_s=0.9,
         target_gap_s=target_gap_s,
@@ -70,9 +72,9 @@
     )
 
 
-def prefill(known, *, factor=1.0, now=10.0, reported_wait_s=0.0, context=CONTEXT):
+def prefill(tracked_worker, *, factor=1.0, now=10.0, reported_wait_s=0.0, context=CONTEXT):
     return predict_prefill_end(
-        known,
+        tracked_worker,
         prompt_tokens=5_000,
         usual=USUAL,
         timing=TIMING,
@@ -92,67 +94,67 @@
 
 def test_a_plain_request_waits_for_requests_beyond_the_slots():
     """Guards against waits that ignore the pace, or that start before all slots are taken."""
-    known = tracked()
-    assert plain(known, factor=2.0).total_s == pytest.approx(0.2)
-    known.in_flight = 3
-    found = plain(known, factor=2.0)
+    tracked_worker = tracked()
+    assert plain(tracked_worker, factor=2.0).total_s == pytest.approx(0.2)
+    tracked_worker.in_flight = 3
+    found = plain(tracked_worker, factor=2.0)
     assert found.wait_s == pytest.approx(2 * 0.05 * 2.0)
     assert (found.pace, found.pace_source, found.pace_age_s) == (2.0, PaceSource.REPORTED, 0.1)
 
 
 def test_a_hanging_plain_worker_is_overdue_before_its_first_timeout():
     """Guards against calls to a hanging worker until a timeout of 400 ms to 2 s."""
-    known = tracked()
-    known.sent_at_by_call[object()] = 9.5
-    known.sent_at_by_call[object()] = 9.9
-    assert plain(known, now=9.75).overdue_s == 0.0
-    assert plain(known, now=10.0).overdue_s == pytest.approx(0.2)
-    assert plain(known, now=11.0).overdue_s == pytest.approx(1.2)
+    tracked_worker = tracked()
+    tracked_worker.sent_at_by_call[object()] = 9.5
+    tracked_worker.sent_at_by_call[object()] = 9.9
+    assert plain(tracked_worker, now=9.75).overdue_s == 0.0
+    assert plain(tracked_worker, now=10.0).overdue_s == pytest.approx(0.2)
+    assert plain(tracked_worker, now=11.0).overdue_s == pytest.approx(1.2)
 
 
-def test_too_long_token_gaps_cost_the_target_at_a_decode_worker():
+def test_too_long_token_gaps_add_the_target_time_at_a_decode_worker():
     """Guards against streams at a worker so slow that its token gaps alone make them late."""
-    known = tracked(stage=Stage.DECODE)
-    assert decode(known, factor=4.0, target_gap_s=0.1).gap_penalty_s == 0.0
-    assert decode(known, factor=6.0, target_gap_s=0.1).gap_penalty_s == 0.9
-    assert decode(known, factor=6.0, target_gap_s=0.0).gap_penalty_s == 0.0
+    tracked_worker = tracked(stage=Stage.DECODE)
+    assert decode(tracked_worker, factor=4.0, target_gap_s=0.1).gap_penalty_s == 0.0
+    assert decode(tracked_worker, factor=6.0, target_gap_s=0.1).gap_penalty_s == 0.9
+    assert decode(tracked_worker, factor=6.0, target_gap_s=0.0).gap_penalty_s == 0.0
 
 
 def test_the_load_of_a_decode_worker_counts_in_full_workers():
     """Guards against asking engines that are known to be full to hold memory for a stream."""
-    known = tracked(slots=8, stage=Stage.DECODE)
-    known.in_flight, known.tokens_in_flight = 2, 5_000
+    tracked_worker = tracked(slots=8, stage=Stage.DECODE)
+    tracked_worker.in_flight, tracked_worker.tokens_in_flight = 2, 5_000
     context = ChoiceContext(zone="near", peers=PeerTable(own_id="me"), kv_tokens=20_000)
-    assert decode(known, context=context).wait_s == pytest.approx(0.5 * 5.0)
+    assert decode(tracked_worker, context=context).wait_s == pytest.approx(0.5 * 5.0)
 
 
 def test_a_prompt_waits_for_probed_prompts_and_those_sent_since():
     """Guards against ignoring prompts of this box that had not arrived at the probed worker."""
     table = WorkerTable()
     table.upsert(tracked("p", stage=Stage.PREFILL).worker, 0.0)
-    known = table.tracked_by_id["p"]
+    tracked_worker = table.tracked_by_id["p"]
     table.note_sent("p", 5_000)
-    known.queue.note_sent("r1", 5_000, 9.99)
-    table.note_load("p", 2, 1, 10.0, sent_since=known.queue.sent_since(9.98))
-    assert prefill(known, factor=1.5).wait_s == pytest.approx(4 * 0.2 * 1.5)
+    tracked_worker.queue.note_sent("r1", 5_000, 9.99)
+    table.note_load("p", 2, 1, 10.0, sent_since=tracked_worker.queue.sent_since(9.98))
+    assert prefill(tracked_worker, factor=1.5).wait_s == pytest.approx(4 * 0.2 * 1.5)
 
 
 def test_a_fresh_probe_overrides_earlier_observed_waits():
     """Guards against passing over a worker that is idle again because of an earlier wait."""
-    known = tracked(stage=Stage.PREFILL)
-    known.queue.observed_wait_s, known.queue.observed_at = 0.6, 10.0
-    assert prefill(known, reported_wait_s=0.8).wait_s == pytest.approx(0.8)
-    assert prefill(known).wait_s == pytest.approx(0.6)
-    known.load_at = 9.9
-    assert prefill(known, reported_wait_s=0.8).wait_s == 0.0
+    tracked_worker = tracked(stage=Stage.PREFILL)
+    tracked_worker.queue.observed_wait_s, tracked_worker.queue.observed_at = 0.6, 10.0
+    assert prefill(tracked_worker, reported_wait_s=0.8).wait_s == pytest.approx(0.8)
+    assert prefill(tracked_worker).wait_s == pytest.approx(0.6)
+    tracked_worker.load_at = 9.9
+    assert prefill(tracked_worker, reported_wait_s=0.8).wait_s == 0.0
 
 
 def test_a_prompt_is_overdue_only_beyond_its_prediction():
     """Guards against counting a known queue as a second wait."""
-    known = tracked(stage=Stage.PREFILL)
-    known.queue.note_sent("r1", 5_000, 9.0, expected_s=0.8)
-    assert prefill(known, now=9.7).overdue_s == 0.0
-    assert prefill(known, now=10.0).overdue_s == pytest.approx(0.2)
+    tracked_worker = tracked(stage=Stage.PREFILL)
+    tracked_worker.queue.note_sent("r1", 5_000, 9.0, expected_s=0.8)
+    assert prefill(tracked_worker, now=9.7).overdue_s == 0.0
+    assert prefill(tracked_worker, now=10.0).overdue_s == pytest.approx(0.2)
 
 
 def test_another_hall_costs_some_round_trips():
@@ -161,24 +163,24 @@
     assert plain(tracked()).hall_penalty_s == 0.0
 
 
-@pytest.mark.parametrize("of", [plain, decode, prefill])
-def test_failures_here_and_at_peers_cost_at_least_the_usual_time(of):
+@pytest.mark.parametrize("predict", [plain, decode, prefill])
+def test_failures_here_and_at_peers_cost_at_least_the_usual_time(predict):
     """Guards against failures that weigh less than in choices by cost."""
-    known = tracked()
-    usual_s = of(known).work_s
-    known.failures, known.failed_at = 1.0, 10.0
-    assert of(known).failure_penalty_s >= usual_s
+    tracked_worker = tracked()
+    usual_s = predict(tracked_worker).work_s
+    tracked_worker.failures, tracked_worker.failed_at = 1.0, 10.0
+    assert predict(tracked_worker).failure_penalty_s >= usual_s
     context = ChoiceContext(zone="near", peers=PeersWithFailures(50.0))
-    assert of(tracked(), context=context).failure_penalty_s >= 1.6 * usual_s
+    assert predict(tracked(), context=context).failure_penalty_s >= 1.6 * usual_s
 
 
 def test_a_predicted_end_logs_its_parts():
     """Guards against missing parts in the log, and an infinite age, which JSON can't represent."""
-    facts = PredictedEnd(wait_s=0.1, work_s=0.2, gap_penalty_s=0.9).log_fields()
-    assert facts["end_ms"] == 1200.0
-    assert facts["end_wait_ms"] == 100.0
-    assert facts["pace_source"] == "prior"
-    assert facts["pace_age_s"] is None
+    fields = PredictedEnd(wait_s=0.1, work_s=0.2, gap_penalty_s=0.9).log_fields()
+    assert fields["end_ms"] == 1200.0
+    assert fields["end_wait_ms"] == 100.0
+    assert fields["pace_source"] == "prior"
+    assert fields["pace_age_s"] is None
 
 
 # Draws.
@@ -224,24 +226,24 @@
             assert weight <= limit + 1e-9
 
 
-def test_hanging_workers_leave_the_work_to_others():
+def test_hanging_workers_get_few_requests():
     """Guards against a share limit that sends work to hanging workers."""
     hanging = PredictedEnd(wait_s=0.0, work_s=0.1, overdue_s=0.5)
     weights = draw_weights([end(0.1), hanging, hanging])
     assert weights[0] > 0.98
 
 
-def test_a_failing_worker_gets_nothing_while_others_work_as_by_cost():
+def test_a_failing_worker_gets_no_requests_while_others_are_available():
     """Guards against a share for a worker that choices by cost would leave out."""
     table = WorkerTable()
     for name in ("a", "b", "c"):
         table.upsert(tracked(name).worker, 0.0)
-    known = table.tracked_by_id
+    tracked_by_id = table.tracked_by_id
     table.note_failure("a", 1.0, 10.0)
 
     def picks(now):
-        ends = {name: plain(known[name], now=now) for name in known}
-        suspects = {name for name in known if is_suspect(known[name], CONTEXT, now)}
+        ends = {name: plain(tracked_by_id[name], now=now) for name in tracked_by_id}
+        suspects = {name for name in tracked_by_id if is_suspect(tracked_by_id[name], CONTEXT, now)}
         return {draw_by_end(ends, suspects, random.Random(seed)) for seed in range(200)}
 
     def by_cost(now):
@@ -254,28 +256,30 @@
 
     assert picks(10.0) == by_cost(10.0) == {"b", "c"}
     assert picks(40.0) == by_cost(40.0) == {"a", "b", "c"}
-    known["b"].in_flight = known["c"].in_flight = 6
+    tracked_by_id["b"].in_flight = tracked_by_id["c"].in_flight = 6
     assert "a" in picks(10.0)
 
 
 def test_failing_workers_are_used_where_no_other_is_left():
     """Guards against refusing a request that a recently failed worker could serve."""
-    known = tracked("a")
-    known.failures, known.failed_at = 4.0, 10.0
-    assert draw_by_end({"a": plain(known)}, {"a"}, random.Random(1)) == "a"
+    tracked_worker = tracked("a")
+    tracked_worker.failures, tracked_worker.failed_at = 4.0, 10.0
+    assert draw_by_end({"a": plain(tracked_worker)}, {"a"}, random.Random(1)) == "a"
     sound = tracked("b")
-    kept = exclude_suspects([known, sound], context=CONTEXT, now=10.0, min_count=1)
-    assert kept == [sound]
-    assert len(exclude_suspects([known, sound], context=CONTEXT, now=10.0, min_count=3)) == 2
+    remaining = exclude_suspects([tracked_worker, sound], context=CONTEXT, now=10.0, min_count=1)
+    assert remaining == [sound]
+    assert (
+        len(exclude_suspects([tracked_worker, sound], context=CONTEXT, now=10.0, min_count=3)) == 2
+    )
 
 
 # Load distribution when all boxes choose by the same reports, which are 0.5 s old.
 
 REPORT_AGE_S = 0.5
 USUAL_S = 0.1
-RATE = 1500.0
+REQUESTS_PER_S = 1500.0
 SLOTS = 30
-BOUND = 3.0
+MAX_SHARE_RATIO = 3.0
 MIXED = [0.6, 1.0, 1.6] * 4
 CHANGES = {
     "one of three slows": ([1.0, 1.0, 1.0], [5.0, 1.0, 1.0]),
@@ -316,28 +320,28 @@
     counts = dict.fromkeys(names, 0)
     open_calls = []
     number, now = 0, -1.0
-    while (now := now + rng.expovariate(RATE)) < 1.0:
+    while (now := now + rng.expovariate(REQUESTS_PER_S)) < 1.0:
         while open_calls and open_calls[0][0] <= now:
             ended_at, _, box, name = heapq.heappop(open_calls)
             running[name] -= 1
-            known = views[box][name]
-            known.in_flight -= 1
-            known.load_running, known.load_at = running[name], ended_at
-            known.in_flight_at_load = known.in_flight
+            tracked_worker = views[box][name]
+            tracked_worker.in_flight -= 1
+            tracked_worker.load_running, tracked_worker.load_at = running[name], ended_at
+            tracked_worker.in_flight_at_load = tracked_worker.in_flight
         box = rng.randrange(boxes)
-        told = dict(zip(names, before if now < REPORT_AGE_S else after, strict=True))
+        reported = dict(zip(names, before if now < REPORT_AGE_S else after, strict=True))
         true = dict(zip(names, before if now < 0.0 else after, strict=True))
         ends = {
             name: predict_plain_end(
                 views[box][name],
                 usual_s=USUAL_S,
                 context=CONTEXT,
-                pace=pace(told[name], REPORT_AGE_S),
+                pace=pace(reported[name], REPORT_AGE_S),
                 now=now,
             )
             for name in rng.sample(names, len(names))
         }
-        name = rule(ends, {name: 1.0 / told[name] for name in names}, rng)
+        name = rule(ends, {name: 1.0 / reported[name] for name in names}, rng)
         running[name] += 1
         views[box][name].in_flight += 1
         number += 1
@@ -357,10 +361,10 @@
     """Guards against all boxes choosing the worker that was the fastest by outdated reports."""
     before, after = CHANGES[change]
     found = max_share_ratio(draw_in_use, boxes=boxes, before=before, after=after, seed=1)
-    assert found <= BOUND
+    assert found <= MAX_SHARE_RATIO
 
 
-def test_the_draw_in_use_herds_less_than_the_rejected_draws():
+def test_the_draw_in_use_spreads_requests_better_than_the_rejected_draws():
     """Guards against a return to a rejected draw: the cube alone, or two candidates."""
     before, after = CHANGES["the only fast one slows"]
 
@@ -370,9 +374,9 @@
             for seed in range(2)
         )
 
-    kept = worst(draw_in_use)
-    assert kept < worst(draw_two_by_speed)
-    assert kept < worst(draw_by_cube)
+    ratio_in_use = worst(draw_in_use)
+    assert ratio_in_use < worst(draw_two_by_speed)
+    assert ratio_in_use < worst(draw_by_cube)
 
 
 # Prefill workers: three are drawn by speed and probed; the earliest end gets the prompt.
@@ -380,18 +384,18 @@
 PROMPT_S = 0.187
 PROMPTS_PER_S = 35.0
 PROBE_AGE_S = 0.01
-RUNS = 12
+SEED_COUNT = 12
 
 
-def max_prompt_share_ratio(*, boxes, before, after, answered):
+def max_prompt_share_ratio(*, boxes, before, after, answered_share):
     """Return the highest ratio of a worker's share of prompts to its share by speed, over all runs.
 
-    A share ``answered`` of the probes returns pace and load. A worker prefills one prompt after the
-    other. A round trip lies between the probes and the arrival of the prompt, and other boxes send
-    their prompts in that time.
+    A share ``answered_share`` of the probes returns pace and load. A worker prefills one prompt
+    after the other. A round trip lies between the probes and the arrival of the prompt, and
+    other boxes send their prompts in that time.
     """
     counts = [0] * len(before)
-    for seed in range(RUNS):
+    for seed in range(SEED_COUNT):
         rng = random.Random(seed)
         tracked_workers = [tracked(str(n), stage=Stage.PREFILL) for n in range(len(before))]
         views = [
@@ -407,16 +411,16 @@
                 factor = (before if arrived_at < 0.0 else after)[chosen]
                 began_at = max([arrived_at, *ends_at[chosen][-1:]])
                 ends_at[chosen].append(began_at + PROMPT_S * factor)
-            told = before if now < REPORT_AGE_S else after
+            reported = before if now < REPORT_AGE_S else after
             true = before if now < 0.0 else after
             view = views[rng.randrange(boxes)]
-            speeds = {str(n): 1.0 / factor for n, factor in enumerate(told)}
+            speeds = {str(n): 1.0 / factor for n, factor in enumerate(reported)}
             ends = {}
             has_answer = False
             for one in sample_by_speed(view, speeds=speeds, count=3, rng=rng):
                 number = int(one.worker.id)
-                factor = told[number]
-                if rng.random() < answered:
+                factor = reported[number]
+                if rng.random() < answered_share:
                     has_answer = True
                     factor = true[number]
                     one.load_running = sum(at > now for at in ends_at[number])
@@ -426,7 +430,7 @@
                 chosen = int(earliest_end(ends))
             else:
                 ends = {
-                    one.worker.id: prefill(one, factor=told[int(one.worker.id)], now=now)
+                    one.worker.id: prefill(one, factor=reported[int(one.worker.id)], now=now)
                     for one in view
                 }
                 chosen = int(draw_by_end(ends, set(), rng))
@@ -439,14 +443,16 @@
 
 
 @pytest.mark.parametrize("boxes", [8, 87, 360])
-@pytest.mark.parametrize("answered", [1.0, 0.5, 0.0])
+@pytest.mark.parametrize("answered_share", [1.0, 0.5, 0.0])
 @pytest.mark.parametrize("change", CHANGES)
-def test_no_prefill_worker_exceeds_three_times_its_share_of_prompts(boxes, answered, change):
+def test_no_prefill_worker_exceeds_three_times_its_share_of_prompts(boxes, answered_share, change):
     """Guards against sending all prompts to the worker that was the fastest by outdated reports.
 
     Choosing the earliest of three by old reports alone, without any answered probe, gave a worker
     4.7 times its share.
     """
     before, after = CHANGES[change]
-    found = max_prompt_share_ratio(boxes=boxes, before=before, after=after, answered=answered)
-    assert found <= BOUND
+    found = max_prompt_share_ratio(
+        boxes=boxes, before=before, after=after, answered_share=answered_share
+    )
+    assert found <= MAX_SHARE_RATIO
--- a/tests/systems/test_worker_pace.py
+++ b/tests/systems/test_worker_pace.py
@@ -38,7 +38,7 @@
     return [paces.estimate("w", kind, now) for kind in KINDS]
 
 
-def known(now=10.0):
+def paces_from_all_sources(now=10.0):
     """Return paces with figures from all sources for one worker."""
     paces = WorkerPaces()
     paces.note_reported("w", 2.0, now)
@@ -53,7 +53,7 @@
 @given(invalid)
 def test_an_invalid_pace_changes_nothing(value):
     """Guards against an invalid pace that makes a worker get no requests, or all of them."""
-    paces, now = known(), 10.1
+    paces, now = paces_from_all_sources(), 10.1
     before = estimates(paces, now), paces.notices(now)
     paces.note_reported("w", value, now)
     for kind in KINDS:
@@ -65,7 +65,7 @@
 @given(st.sampled_from([-0.1, -1e300, NAN, INF, -INF, REPORT_TTL_S, 1e300]))
 def test_a_pace_of_an_invalid_age_changes_nothing(age_s):
     """Guards against a report from the future, which no later one would replace."""
-    paces, now = known(), 10.1
+    paces, now = paces_from_all_sources(), 10.1
     before = estimates(paces, now), paces.notices(now)
     paces.note_reported("w", 5.0, now, age_s=age_s)
     paces.apply_notice(notice(told=5.0, age=age_s), WorkKind.ANSWER, now)
@@ -75,7 +75,7 @@
 @given(st.sampled_from([0.0, -1.0, NAN, INF, -INF, 1e300, 2 * MAX_OBSERVED_WEIGHT]))
 def test_a_peer_observation_of_invalid_weight_changes_nothing(weight):
     """Guards against one notice that outweighs all observations of this box."""
-    paces, now = known(), 10.1
+    paces, now = paces_from_all_sources(), 10.1
     before = estimates(paces, now), paces.notices(now)
     for kind in KINDS:
         paces.apply_notice(notice(seen=9.0, weight=weight), kind, now)
@@ -118,7 +118,7 @@
 # The estimate.
 
 steps = st.tuples(
-    st.sampled_from(["told", "seen", "heard", "wait"]), kinds, any_float, any_float, gaps
+    st.sampled_from(["told", "seen", "notice", "wait"]), kinds, any_float, any_float, gaps
 )
 
 
@@ -131,7 +131,7 @@
             paces.note_reported("w", value, now, age_s=other)
         elif what == "seen":
             paces.note_observed("w", kind, value, now)
-        elif what == "heard":
+        elif what == "notice":
             paces.apply_notice(notice(told=value, age=other, seen=value, weight=other), kind, now)
         if what != "wait" and 1 / MAX_OBSERVED_RATIO <= value <= MAX_OBSERVED_RATIO:
             sources.append(min(MAX_PACE, max(MIN_PACE, value)))
@@ -171,7 +171,7 @@
 
 
 @given(reported_paces, st.integers(1, 30), st.sampled_from([WorkKind.PREFILL, WorkKind.TOKEN]))
-def test_other_workers_are_half_back_two_seconds_after_their_last_report(pace, reports, kind):
+def test_prefill_and_decode_paces_are_halfway_to_the_prior_after_two_seconds(pace, reports, kind):
     """Guards against a mean of reports that keeps prompts from a prefill worker for long."""
     paces = WorkerPaces()
     for number in range(reports):
@@ -202,7 +202,7 @@
 
 
 @given(st.lists(steps, max_size=25), kinds)
-def test_a_new_life_starts_at_the_prior(history, kind):
+def test_a_restarted_worker_starts_at_the_prior(history, kind):
     """Guards against a restarted worker that inherits the pace of its previous life."""
     paces = WorkerPaces()
     now, _ = apply_history(paces, history)
@@ -312,9 +312,9 @@
         for _ in range(peers):
             paces.apply_notice(notice(seen=5.0, weight=weight), kind, 0.05 * number)
     now = 0.05 * (times - 1)
-    heard = paces.estimate("w", kind, now).factor
+    factor = paces.estimate("w", kind, now).factor
     # At most the weight of four responses against one of the prior.
-    assert math.log(heard) <= 0.8 * math.log(5.0) + 1e-9
+    assert math.log(factor) <= 0.8 * math.log(5.0) + 1e-9
     for _ in range(8):
         paces.note_observed("w", kind, 1.0, now)
     assert math.log(paces.estimate("w", kind, now).factor) <= math.log(5.0) * 4 / 9 + 1e-9
