--- a/tests/systems/test_worker_pace.py
+++ b/tests/systems/test_worker_pace.py
@@ -1,4 +1,4 @@
-"""Paces of workers: figures are weighted by source and age, and invalid ones are ignored."""
+"""Estimates of worker paces: inputs are weighted by source and age; invalid ones are ignored."""
 
 import math
 
@@ -38,7 +38,7 @@
     return [paces.estimate("w", kind, now) for kind in KINDS]
 
 
-def known(now=10.0):
+def paces_from_all_sources(now=10.0):
     """Return paces with figures from all sources for one worker."""
     paces = WorkerPaces()
     paces.note_reported("w", 2.0, now)
@@ -52,8 +52,8 @@
 
 @given(invalid)
 def test_an_invalid_pace_changes_nothing(value):
-    """Guards against one invalid figure that sends no requests to a worker, or all of them."""
-    paces, now = known(), 10.1
+    """Guards against an invalid pace that makes a worker get no requests, or all of them."""
+    paces, now = paces_from_all_sources(), 10.1
     before = estimates(paces, now), paces.notices(now)
     paces.note_reported("w", value, now)
     for kind in KINDS:
@@ -65,7 +65,7 @@
 @given(st.sampled_from([-0.1, -1e300, NAN, INF, -INF, REPORT_TTL_S, 1e300]))
 def test_a_pace_of_an_invalid_age_changes_nothing(age_s):
     """Guards against a report from the future, which no later one would replace."""
-    paces, now = known(), 10.1
+    paces, now = paces_from_all_sources(), 10.1
     before = estimates(paces, now), paces.notices(now)
     paces.note_reported("w", 5.0, now, age_s=age_s)
     paces.apply_notice(notice(told=5.0, age=age_s), WorkKind.ANSWER, now)
@@ -75,7 +75,7 @@
 @given(st.sampled_from([0.0, -1.0, NAN, INF, -INF, 1e300, 2 * MAX_OBSERVED_WEIGHT]))
 def test_a_peer_observation_of_invalid_weight_changes_nothing(weight):
     """Guards against one notice that outweighs all observations of this box."""
-    paces, now = known(), 10.1
+    paces, now = paces_from_all_sources(), 10.1
     before = estimates(paces, now), paces.notices(now)
     for kind in KINDS:
         paces.apply_notice(notice(seen=9.0, weight=weight), kind, now)
@@ -84,7 +84,7 @@
 
 @given(invalid)
 def test_invalid_figures_create_no_record(value):
-    """Guards against state that grows by ignored figures."""
+    """Guards against memory growth caused by ignored input."""
     paces = WorkerPaces()
     paces.note_reported("w", value, 0.0)
     paces.note_observed("w", WorkKind.TOKEN, value, 0.0)
@@ -118,7 +118,7 @@
 # The estimate.
 
 steps = st.tuples(
-    st.sampled_from(["told", "seen", "heard", "wait"]), kinds, any_float, any_float, gaps
+    st.sampled_from(["told", "seen", "notice", "wait"]), kinds, any_float, any_float, gaps
 )
 
 
@@ -131,7 +131,7 @@
             paces.note_reported("w", value, now, age_s=other)
         elif what == "seen":
             paces.note_observed("w", kind, value, now)
-        elif what == "heard":
+        elif what == "notice":
             paces.apply_notice(notice(told=value, age=other, seen=value, weight=other), kind, now)
         if what != "wait" and 1 / MAX_OBSERVED_RATIO <= value <= MAX_OBSERVED_RATIO:
             sources.append(min(MAX_PACE, max(MIN_PACE, value)))
@@ -171,7 +171,7 @@
 
 
 @given(reported_paces, st.integers(1, 30), st.sampled_from([WorkKind.PREFILL, WorkKind.TOKEN]))
-def test_other_workers_are_half_back_two_seconds_after_their_last_report(pace, reports, kind):
+def test_prefill_and_decode_paces_are_halfway_to_the_prior_after_two_seconds(pace, reports, kind):
     """Guards against a mean of reports that keeps prompts from a prefill worker for long."""
     paces = WorkerPaces()
     for number in range(reports):
@@ -182,7 +182,7 @@
 
 @given(reported_paces, kinds)
 def test_observations_decay_to_the_prior(pace, kind):
-    """Guards against a pace that lasts as long as nobody asks the worker."""
+    """Guards against an estimate that stays the same while a worker gets no requests."""
     paces = WorkerPaces()
     for _ in range(20):
         paces.note_observed("w", kind, pace, 0.0)
@@ -202,7 +202,7 @@
 
 
 @given(st.lists(steps, max_size=25), kinds)
-def test_a_new_life_starts_at_the_prior(history, kind):
+def test_a_restarted_worker_starts_at_the_prior(history, kind):
     """Guards against a restarted worker that inherits the pace of its previous life."""
     paces = WorkerPaces()
     now, _ = apply_history(paces, history)
@@ -213,7 +213,7 @@
 
 
 def test_an_older_report_does_not_replace_a_newer_one():
-    """Guards against a notice of a peer from before a change of the worker."""
+    """Guards against a delayed peer notice that replaces a newer report."""
     paces = WorkerPaces()
     paces.note_reported("w", 1.0, 10.0)
     paces.apply_notice(notice(told=9.0, age=0.4), WorkKind.ANSWER, 10.1)
@@ -252,7 +252,7 @@
 
 
 def test_trust_recovers():
-    """Guards against a worker whose reports count nothing for good after it was wrong."""
+    """Guards against ignoring the reports of a worker permanently after some wrong ones."""
     paces = WorkerPaces()
     for number in range(100):
         now = 0.2 * number
@@ -312,16 +312,16 @@
         for _ in range(peers):
             paces.apply_notice(notice(seen=5.0, weight=weight), kind, 0.05 * number)
     now = 0.05 * (times - 1)
-    heard = paces.estimate("w", kind, now).factor
+    factor = paces.estimate("w", kind, now).factor
     # At most the weight of four responses against one of the prior.
-    assert math.log(heard) <= 0.8 * math.log(5.0) + 1e-9
+    assert math.log(factor) <= 0.8 * math.log(5.0) + 1e-9
     for _ in range(8):
         paces.note_observed("w", kind, 1.0, now)
     assert math.log(paces.estimate("w", kind, now).factor) <= math.log(5.0) * 4 / 9 + 1e-9
 
 
 def test_an_observation_of_a_peer_counts_half_of_an_own_one():
-    """Guards against the links of peers deciding the estimate of this box."""
+    """Guards against estimates dominated by the network delays of peers."""
     here, there = WorkerPaces(), WorkerPaces()
     here.note_observed("w", WorkKind.PREFILL, 5.0, 0.0)
     there.apply_notice(notice(seen=5.0, weight=1.0), WorkKind.PREFILL, 0.0)
@@ -330,7 +330,7 @@
 
 
 def test_notices_cover_the_workers_updated_last():
-    """Guards against a datagram that grows with the fleet."""
+    """Guards against a datagram that grows with the number of workers."""
     paces = WorkerPaces()
     for number in range(500):
         paces.note_reported(f"w{number}", 1.6, 0.001 * number)
@@ -363,7 +363,7 @@
 @pytest.mark.parametrize("reports_pace", [True, False])
 @pytest.mark.parametrize("seed", range(8))
 def test_a_slow_worker_gets_a_sixth_at_most_and_recovers_its_share_soon(seed, reports_pace):
-    """Guards against overloading slow workers, and against idle ones after they recover."""
+    """Guards against overloading a slow worker, and against leaving it idle once it recovered."""
     simulation = PaceSimulation(seed=seed, reports_pace=reports_pace).run()
     slow_until = SLOW_START_S + SLOW_DURATION_S
     assert simulation.first_slow_at is not None
