--- a/src/croftchute/systems/prefill_queue.py
+++ b/src/croftchute/systems/prefill_queue.py
@@ -1,8 +1,8 @@
 """Estimate how long a prompt would wait at a prefill worker, and where it should be prefilled.
 
-A box sees only its own calls. They show the queue of a worker in three ways: how much longer the
-last call took than its prefill, how long open calls are overdue, and how many tokens of this box
-are still queued there. Peers report the same about their calls.
+A box sees only its own calls. It estimates the wait at a worker from three values: the wait of the
+last answered call, the time by which open calls are overdue, and the number of tokens in its own
+open calls. Peers report the same about their calls.
 """
 
 from __future__ import annotations
@@ -35,7 +35,7 @@
 
 @dataclass(kw_only=True, slots=True)
 class PrefillQueue:
-    """What this box knows about the queue of one prefill worker."""
+    """Estimate of the queue of one prefill worker, from the calls of this box."""
 
     open_calls_by_request: dict[str, _OpenCall] = field(default_factory=dict)
     observed_wait_s: float = 0.0
@@ -77,7 +77,7 @@
         self.open_calls_by_request.pop(request_id, None)
 
     def wait_s(self, *, timing: PrefillTiming, now: float) -> float:
-        """Return the expected wait of one more prompt, as far as this box can tell."""
+        """Return the expected wait of one more prompt, estimated from the calls of this box."""
         own_tokens = sum(call.tokens for call in self.open_calls_by_request.values())
         overdue_s = [
             now - call.sent_at - timing.prefill_s(call.tokens)
--- a/src/croftchute/systems/prefill_timing.py
+++ b/src/croftchute/systems/prefill_timing.py
@@ -1,7 +1,8 @@
-"""Fit the time of prefill calls to the size of their prompts.
+"""Model the duration of prefill calls by linear regression on the number of prompt tokens.
 
-A call takes a fixed overhead, the prefill itself, and the wait behind other prompts. The calls that
-did not wait lie on a line over the prompt size. Its slope gives the tokens read per second.
+The duration is the sum of a fixed overhead, the prefill itself and the wait behind other prompts.
+For calls that did not wait, it is a linear function of the prompt size. The inverse of its slope is
+the prefill speed in tokens per second.
 """
 
 from __future__ import annotations
@@ -13,19 +14,19 @@
 """Prefill speed that is assumed until a call has been observed."""
 
 MIN_SAMPLES = 6
-"""Fewest calls that a line is fitted to."""
+"""Minimum number of calls to fit a line to."""
 
 UNQUEUED_SHARE = 0.5
 """Share of the calls that are assumed not to have waited. A worker that is busy half of the time
 serves half of the calls at once."""
 
 FIT_ROUNDS = 4
-"""Times that the line is fitted again to the calls with the smallest residuals. The fit settles
-within 3 rounds."""
+"""Number of fits; each after the first uses the calls with the smallest residuals from the one
+before. The fit converges within 3 rounds."""
 
 MAX_SPEED_OVER_FASTEST = 1.5
-"""Limit on the fitted speed, as a multiple of the fastest single call. A higher result is noise
-from prompts of too few sizes."""
+"""Limit on the fitted speed, as a multiple of the fastest single call. A higher result
+is an error of the fit, as prompts of similar size give."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
@@ -81,7 +82,7 @@
 
 
 def _fit_line(samples: Sequence[PrefillSample], fastest: float) -> PrefillTiming:
-    """Fit by least squares; the speed is kept between the fastest call and a multiple of it."""
+    """Fit by least squares; the speed is clamped to 1 to 1.5 times that of the fastest call."""
     count = len(samples)
     mean_tokens = sum(sample.tokens for sample in samples) / count
     mean_s = sum(sample.seconds for sample in samples) / count
--- a/src/croftchute/systems/service_capacity.py
+++ b/src/croftchute/systems/service_capacity.py
@@ -1,8 +1,8 @@
 """Estimate the request rate that a split of engines into stages can serve.
 
-A prompt is prefilled by a prefill worker, or by its decode worker when the prefill workers have no
-time left. A prefill at the decode worker takes longer and delays the streams there. A stream holds
-KV memory from its admission to its end. The averages of a service's requests and the measured
+A prompt is prefilled by a prefill worker, or by its decode worker when the prefill workers are
+fully utilized. A prefill at the decode worker takes longer and delays the streams there. A stream
+holds KV memory from its admission to its end. The averages of a service's requests and the measured
 speeds give the request rate of each split, and so the best split.
 """
 
@@ -12,14 +12,14 @@
 from enum import StrEnum
 
 MAX_PREFILL_UTILIZATION = 0.85
-"""Highest share of its time that a prefill worker can be busy. Prompts arrive at random, so that
-above this share several prompts usually wait (single-server queue)."""
+"""Highest share of its time that a prefill worker can be busy. Prompts arrive at random:
+above this share, several of them usually wait (single-server queue)."""
 
 MIN_PREFILL_UTILIZATION = 0.3
 """Lower limit of the planned utilization of a prefill worker, however long its prompts take."""
 
 PREFILL_SHARE_OF_TARGET = 0.6
-"""Share of the first-token target in which a prompt should be prefilled, wait included. The rest
+"""Share of the first-token target within which a prompt should wait and be prefilled. The rest
 is for admission, the transfer of the KV cache and the first event."""
 
 MAX_KV_UTILIZATION = 0.9
@@ -27,8 +27,8 @@
 the rest."""
 
 LOCAL_PREFILL_SPEED_RATIO = 0.5
-"""Prefill speed of a decode worker, relative to a prefill worker. The platform gives this
-figure."""
+"""Prefill speed of a decode worker, relative to a prefill worker, as specified by the
+platform."""
 
 
 class SplitMode(StrEnum):
@@ -143,8 +143,8 @@
 def best_split(workers: int, averages: RequestAverages, capacity: EngineCapacity) -> StageSplit:
     """Return the split with the highest request rate; on a tie, the fewest prefill workers.
 
-    Among two or more workers at least one does prefill: without it, each prompt would delay the
-    streams of a decode worker.
+    Of two or more workers, at least one is a prefill worker. Without it, each prompt would delay
+    the streams of a decode worker.
 
     >>> averages = RequestAverages(prompt_tokens=3000, output_tokens=600, output_token_s=0.005)
     >>> capacity = EngineCapacity(prefill_tokens_per_s=30_000, kv_tokens=40_000, slots=64)
--- a/src/croftchute/systems/stage_balance.py
+++ b/src/croftchute/systems/stage_balance.py
@@ -1,8 +1,8 @@
 """Plan stage changes so that a service serves the highest request rate.
 
-The capacity model gets the averages of recent requests, as reported by all boxes. The present split
-stays unless another one serves clearly more, because a worker that changes its stage serves nothing
-for some seconds.
+The request rate of each split is computed from the averages of recent requests, as reported by all
+boxes. The present split stays unless another one raises the rate by at least ``MIN_GAIN``, because
+a worker that changes its stage serves nothing for some seconds.
 """
 
 from __future__ import annotations
@@ -23,25 +23,25 @@
 from croftchute.tables.routing import Stage, Worker, WorkerState
 
 DEMAND_WINDOW_S = 10.0
-"""Window over which requests are averaged. It holds some tens of requests and is shorter than
-most shifts of the load."""
+"""Window over which requests are averaged. It is long enough for some tens of requests, and
+shorter than the time in which the load usually changes."""
 
 MIN_REQUESTS = 8
-"""Fewest requests to average. Their mean prompt length is then known to about 20 %."""
+"""Minimum number of requests to average. It gives the mean prompt length to about 20 %."""
 
 MIN_ENDED_STREAMS = 3
-"""Fewest ended streams from which the time of an output token is taken."""
+"""Minimum number of ended streams to compute the time per output token from."""
 
 MIN_GAIN = 0.1
-"""Relative gain in request rate that justifies a change. It is about the error of the averages,
-and more than the absence of a worker for some seconds costs within a minute."""
+"""Relative gain in request rate that justifies a change. It is about the error of the averages.
+It also exceeds the share of a minute's requests that is lost while the worker changes."""
 
 MAX_SHARE_TO_DECODE = 0.5
-"""Share of the prefill workers that may change at once. If more are needed, the next round shows
-it."""
+"""Share of the prefill workers that may change to decode at once (at least one). If more changes
+are needed, the next planning round orders them."""
 
 MAX_SHARE_TO_PREFILL = 0.1
-"""Share of the decode workers that may leave their streams at once (at least one)."""
+"""Share of the decode workers that may change to prefill at once (at least one)."""
 
 MAX_PREFILL_SAMPLES = 32
 """Number of recent prefill calls of this box that are kept to fit the prefill timing."""
@@ -51,8 +51,8 @@
 class StageChange:
     """A worker that should change its stage, with the reason.
 
-    ``is_urgent`` means that the service serves nothing without the change, so that it is ordered
-    without waiting for the need to last.
+    ``is_urgent`` means that the service serves nothing without the change. It is then ordered
+    after the shortest time for which a change must have been needed.
     """
 
     worker: Worker
@@ -65,8 +65,8 @@
 class DemandCounts:
     """Sums over the window: requests with their tokens, and ended streams with their duration.
 
-    ``asks`` are requests for decode memory. Large requests, which need most of an engine, are also
-    counted apart. ``granted`` are the requests that were admitted.
+    ``asks`` are requests for decode memory. ``large_asks`` are those that need most of an
+    engine; they are included in ``asks``. ``granted`` are the requests that were admitted.
     """
 
     asks: int = 0
@@ -175,7 +175,7 @@
 ) -> list[StageChange]:
     """Return the stage changes that a service needs, given the recent demand at all boxes.
 
-    ``pending_stages`` are the stages of workers whose orders are under way; they count as changed.
+    ``pending_stages`` maps workers with an unfinished order to the stage that counts for them.
     """
     listed = [
         b for b in tracked_workers if b.gone_at is None and b.worker.state is WorkerState.READY
@@ -212,7 +212,7 @@
     pending_stages: dict[str, Stage],
     reason: str,
 ) -> list[StageChange]:
-    """Choose the idlest workers of the other stage, and balance decode workers over the halls."""
+    """Choose workers of the other stage, to balance decode workers over halls and by low load."""
     other = Stage.PREFILL if stage is Stage.DECODE else Stage.DECODE
     decodes_by_hall = Counter(tracked.worker.zone for tracked in by_stage[Stage.DECODE])
     sign = 1 if stage is Stage.DECODE else -1
--- a/src/croftchute/systems/stage_headroom.py
+++ b/src/croftchute/systems/stage_headroom.py
@@ -1,9 +1,9 @@
-"""Plan stage changes by the speed of the engines and the present demand.
+"""Plan stage changes from the speed of the engines and the present demand.
 
-The speed of an engine is the inverse of its pace. The utilization of a stage is the work that is
-demanded of it, divided by the summed speed of its engines. A split is judged by the stage that
-exceeds its target most. The present split stays while both stages are within their targets. See
-``docs/design/hard-load.md``, part 5.
+The speed of an engine is the inverse of its pace. The utilization of a stage is its demanded work
+per second, divided by the summed speed of its engines. The overload of a split is the larger ratio
+of utilization to target among its stages. The present split stays while both stages are within
+their targets. See ``docs/design/hard-load.md``, part 5.
 """
 
 from __future__ import annotations
@@ -26,18 +26,18 @@
 from croftchute.tables.routing import EngineTraits, Stage, WorkerState
 
 TARGET_PREFILL_UTILIZATION = 0.75
-"""Target utilization of prefill workers. A prompt goes to the one of several probed workers that
-can serve it first, so that up to about this utilization the mean wait is shorter than the
-prefill itself. A lower target would leave decode memory idle."""
+"""Target utilization of prefill workers. Several workers are probed, and the prompt goes to
+the one that can serve it first. Up to about this utilization, the mean wait is therefore shorter
+than the prefill itself. A lower target would leave decode memory idle."""
 
 TARGET_DECODE_UTILIZATION = MAX_KV_UTILIZATION
 """Target utilization of decode memory. A request of average size does not fit into the rest."""
 
 MAX_DONOR_PREFILL_UTILIZATION = MAX_PREFILL_UTILIZATION
-"""Highest utilization of the remaining prefill workers after a change that adds decode memory."""
+"""Highest utilization of the remaining prefill workers when others change to decode."""
 
 MIN_GAIN = 0.1
-"""Share by which a change must lower the overload of the split: about the error of the averages."""
+"""Minimum relative reduction of the overload by a change: about the error of the averages."""
 
 MAX_SHARE_CHANGING = 0.25
 """Share of the workers of a stage that change at the same time (at least one), because they
@@ -62,7 +62,7 @@
 class StageLoad:
     """Demanded work per second, in engines of the usual speed.
 
-    ``change_s`` is the duration of a stage change: the streams that end first, and the switch.
+    ``change_s`` is the duration of a stage change: the worker finishes its streams, then switches.
     """
 
     prefill: float
@@ -75,7 +75,7 @@
         return self.prefill / self.decode if self.decode > 0.0 else math.inf
 
     def is_valid(self) -> bool:
-        """Return whether all figures are finite and not negative.
+        """Return whether all values are finite and not negative.
 
         >>> StageLoad(prefill=1.0, decode=math.nan, change_s=9.0).is_valid()
         False
@@ -151,12 +151,12 @@
         pending_stages: dict[str, Stage],
         now: float,
     ) -> list[StageChange]:
-        """Return the changes that the service needs; none if the figures are too few or invalid.
+        """Return the changes that the service needs; none if there is too little or invalid input.
 
-        ``counts`` are sums over some boxes, and ``scale`` is the number of boxes in the fleet over
-        those. ``timing`` is that of prefill calls at the usual pace. ``pending_stages`` are the
-        stages of workers that get no order: a worker that is changing counts in its new
-        stage, a resting worker counts in its present stage.
+        ``counts`` are sums over the boxes that reported. ``scale`` is the number of all boxes
+        divided by the number of those. ``timing`` is that of prefill calls at the usual pace.
+        ``pending_stages`` maps workers that get no order to the stage that counts for them: the
+        new stage for a worker that is changing, the present one for a worker in backoff.
         """
         engines = _engines(tracked_workers, pending_stages, paces, now)
         load = _stage_load(counts, engines, scale=scale, timing=timing, traits=traits)
@@ -179,7 +179,7 @@
         return self._changes(engines, stage, load, present, counts, pending_stages, scale)
 
     def note_ordered(self, worker_id: str, stage: Stage, now: float) -> None:
-        """Record an order that the worker may carry out."""
+        """Record that an order was sent to a worker, which may carry it out or not."""
         if self._load is not None:
             until = now + HOLD_MULTIPLE * self._load.change_s
             self._orders_by_worker[worker_id] = _Order(
@@ -196,7 +196,8 @@
     ) -> list[StageChange]:
         """Choose a decode worker for a service that has none and therefore serves nothing.
 
-        Only here may an engine be ordered again early, if all engines have recent orders.
+        Engines without a recent order are preferred. If there are none, this is the only case in
+        which an engine gets another order before the earlier one expires.
         """
         free = [engine for engine in engines if engine.id not in pending_stages]
         if not free:
@@ -227,7 +228,7 @@
         pending_stages: dict[str, Stage],
         scale: float,
     ) -> list[StageChange]:
-        """Return the engines to change to a stage, limited to those that may change at once."""
+        """Return the changes to a stage, at most as many as may take place at once."""
         other = OTHER_STAGE[stage]
         staying = [e for e in engines if e.stage is other and not e.is_pending]
         pending = sum(e.stage is stage and e.is_pending for e in engines)
@@ -327,9 +328,9 @@
 def _usual_stream_s(averages: RequestAverages, engines: Iterable[_Engine]) -> float:
     """Return the duration of a stream at the usual pace.
 
-    The mean over ended streams reflects the speed of the present decode workers. At equal load they
-    end streams in proportion to their speed, so that the mean is the usual time over their mean
-    speed.
+    The mean over ended streams depends on the speed of the present decode workers. At equal load
+    they end streams in proportion to their speed. The mean is therefore the usual time divided by
+    their mean speed.
     """
     speeds = [
         engine.speed_by_stage[Stage.DECODE]
@@ -366,10 +367,11 @@
 def _search(
     engines: Sequence[_Engine], free: Sequence[_Engine], stage: Stage, load: StageLoad
 ) -> stage_search.StageSearch:
-    """Prepare the choice of engines, limited so that the change itself does no harm.
+    """Prepare the search for engines to move from the donor stage to the receiver stage.
 
-    Engines that change serve neither stage meanwhile. The donor stage may then exceed its target by
-    as much as the split does at present; prefill workers must also stay below their limit.
+    Engines that change serve neither stage meanwhile. Without them, the ratio of utilization to
+    target of the donor stage must not exceed the present overload of the split. A prefill donor
+    must also stay below ``MAX_DONOR_PREFILL_UTILIZATION``.
     """
     other = OTHER_STAGE[stage]
     target_by_stage = {
--- a/src/croftchute/systems/stage_search.py
+++ b/src/croftchute/systems/stage_search.py
@@ -1,7 +1,8 @@
-"""Choose the engines to move between stages so that the more overloaded stage is least overloaded.
+"""Choose the engines to move between stages to minimize the overload of the split.
 
-The search is exact for few engines and greedy for many. It has no side effects. Work and speed are
-in engines of the usual speed.
+The overload is the larger ratio of utilization to target among both stages. Engines move from the
+donor stage to the receiver stage. The search is exact for few engines and greedy for many. It has
+no side effects. Work and speed are in engines of the usual speed.
 """
 
 from __future__ import annotations
@@ -13,14 +14,15 @@
 from itertools import combinations
 
 MAX_EXACT_ENGINES = 12
-"""Most engines for which all choices are compared: up to 2,048 choices, in some milliseconds."""
+"""Maximum number of engines for exact search: up to 2,048 choices, in some milliseconds."""
 
 MAX_EXCHANGES = 8
-"""Most exchanges that refine a greedy choice. This bounds the time; one or two are usual."""
+"""Maximum number of exchanges that refine a greedy choice. This bounds the time; one or two are
+usual."""
 
 ROUND_DIGITS = 9
-"""Decimal places in which overloads are compared. The order of summation changes the digits
-beyond."""
+"""Number of decimals in which overloads are compared. Further digits depend on the order of
+summation."""
 
 
 def work_over_speed(work: float, speed: float) -> float:
@@ -71,11 +73,11 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class StageSearch:
-    """One search; ``max_speed_lost`` is the most speed that the donor stage may lose.
+    """Search for the engines to move from the donor stage to the receiver stage.
 
-    Among choices of equal overload the search takes the one with the fewest engines, then the one
-    that spreads decode workers most evenly over halls, then the one with the fewest tokens in
-    progress.
+    ``max_speed_lost`` is the highest summed speed that the donor stage may lose. Among choices of
+    equal overload the search takes the one with the fewest engines, then the one that spreads
+    decode workers most evenly over halls, then the one with the fewest tokens in progress.
     """
 
     candidates: Sequence[Candidate]
@@ -91,7 +93,7 @@
         return [candidate.id for candidate in choice.chosen]
 
     def overload(self, choice: _Choice) -> float:
-        """Return the ratio to target of the more overloaded stage after the moves."""
+        """Return the larger ratio of utilization to target among both stages after the moves."""
         donor, receiver = self._overloads(choice)
         return round(max(donor, receiver), ROUND_DIGITS)
 
@@ -127,9 +129,9 @@
     def _search_greedy(self, max_count: int) -> _Choice:
         """Return the better of two greedy choices.
 
-        One takes the largest gain in each step. The other first takes only engines that keep the
-        donor stage less overloaded than the receiver. The first alone may take one large engine
-        where two smaller ones fit better.
+        One takes the engine with the largest gain in each step. It can take one fast engine where
+        two slower ones would be better. The other therefore first takes only engines that keep the
+        donor stage no more overloaded than the receiver.
         """
         direct = self._extend(_Choice(), max_count, may_overload_donor=True)
         careful = self._extend(_Choice(), max_count, may_overload_donor=False)
@@ -140,7 +142,8 @@
     def _extend(self, choice: _Choice, max_count: int, *, may_overload_donor: bool) -> _Choice:
         """Add the best engine while that lowers the overload.
 
-        Unless ``may_overload_donor`` is set, the donor stage must stay the less overloaded one.
+        Unless ``may_overload_donor`` is set, the donor stage stays no more overloaded than the
+        receiver.
         """
         while len(choice.chosen) < max_count:
             options = []
@@ -162,7 +165,7 @@
     def _distinct_candidates(self, choice: _Choice) -> list[Candidate]:
         """Return the best remaining engine of each speed, by hall and tokens in progress.
 
-        Speeds are rounded, so that these are few however many engines there are.
+        Speeds are rounded, so that there are few distinct ones even among many engines.
         """
         sign = 1 if self.is_to_decode else -1
         halls = self.decodes_by_hall.copy()
--- a/tests/systems/test_prefill_timing.py
+++ b/tests/systems/test_prefill_timing.py
@@ -26,7 +26,10 @@
 
 
 def test_few_calls_give_the_speed_of_the_fastest():
-    """The fastest of few calls must not set the speed for good, once more calls are known."""
+    """Below ``MIN_SAMPLES`` the fastest call gives the speed, with no overhead.
+
+    It must not do so any more once there are enough calls to fit a line.
+    """
     few = [PrefillSample(tokens=3000, seconds=0.3), PrefillSample(tokens=3000, seconds=0.15)]
     assert fit_prefill_timing(few) == PrefillTiming(overhead_s=0.0, tokens_per_s=20_000.0)
 
--- a/tests/systems/test_stage_balance.py
+++ b/tests/systems/test_stage_balance.py
@@ -11,10 +11,10 @@
 
 
 def test_long_prompts_get_enough_prefill_workers_for_the_target():
-    """Guards against prefill workers that have no time left for the wait.
+    """Guards against a utilization at which the wait for prefill exceeds its time limit.
 
-    With three of fifteen workers, at a utilization of 0.98, a tenth of the prompts were given up
-    after 640 ms.
+    With three of fifteen workers, at a utilization of 0.98, a tenth of the prefills timed out after
+    640 ms.
     """
     fixed = best_split(15, LONG, EngineCapacity(**SMALL_ENGINES))
     by_target = best_split(15, LONG, EngineCapacity(**SMALL_ENGINES, prefill_limit_s=0.55))
--- a/tests/systems/test_stage_headroom.py
+++ b/tests/systems/test_stage_headroom.py
@@ -1,4 +1,4 @@
-"""Stage planning by speed and demand: prefill workers keep headroom, and changes are rare."""
+"""Tests of stage planning from engine speed and demand."""
 
 import math
 import random
@@ -26,7 +26,7 @@
 )
 EVEN = (1.0,)
 UNEVEN = (math.exp(-0.5), 1.0, math.exp(0.5))
-"""0.6, 1 and 1.6 times the usual time, at the steps to which the model rounds."""
+"""About 0.6, 1 and 1.6 times the usual time; exact multiples of ``LOG_SPEED_STEP``."""
 
 
 class Paces:
@@ -133,7 +133,7 @@
 
 
 def test_requests_of_the_known_boxes_are_scaled_to_the_fleet():
-    """Half of the requests, reported by half of the boxes, are the same surge."""
+    """Half of the requests, reported by half of the boxes, give the same changes."""
     whole, sampled = Service(10, 35), Service(10, 35)
     ids = [change.worker.id for change in whole.plan(demand(80.0))]
     assert [change.worker.id for change in sampled.plan(demand(40.0), scale=2.0)] == ids
@@ -160,7 +160,7 @@
 
 
 def test_fast_engines_change_to_a_stage_that_is_short():
-    """A slow engine is missing as long as a fast one during its change, and gains less."""
+    """A slow engine is out of service as long as a fast one during its change, and adds less."""
     service = Service(8, 37, factors=UNEVEN)
     changes = service.plan(demand(40.0, prompt=10_000, output=200, stream_s=1.0))
     factors = [service.paces.factor_by_id[change.worker.id] for change in changes]
@@ -209,7 +209,7 @@
 
 
 def test_long_streams_take_idle_prefill_workers():
-    """Guards against headroom that is never returned: 16 prefill workers utilized to 0.09."""
+    """Guards against surplus prefill workers that never change: 16, at a utilization of 0.09."""
     changes = Service(16, 29).plan(demand(8.0, stream_s=30.0))
     assert changes and {change.stage for change in changes} == {Stage.DECODE}
 
@@ -234,7 +234,7 @@
 
 
 def test_resting_draining_and_gone_workers_get_no_order():
-    """A resting worker counts in its stage; a draining or gone worker does not count."""
+    """A worker in backoff counts in its stage; a draining or gone worker does not count."""
     service = Service(10, 35)
     chosen = [change.worker.id for change in service.plan(demand(80.0))]
     service.pending_stages = {chosen[0]: Stage.DECODE}
@@ -257,7 +257,7 @@
 
 
 def test_few_requests_and_invalid_figures_order_nothing():
-    """Guards against orders by chance, or because of wrong figures from a peer or a worker."""
+    """Guards against orders from too small a sample, or invalid values of a peer or a worker."""
     assert Service(1, 44).plan(demand(0.7)) == []
     assert Service(1, 44).plan(demand(80.0, ended=2)) == []
     for scale in (math.nan, math.inf):
@@ -396,7 +396,7 @@
 
 
 def test_recovery_after_a_crash_does_not_reverse_orders():
-    """The load ratio is the same after recovery, so the orders stand until their effect shows."""
+    """The load ratio is the same after recovery, so orders are not reversed before their effect."""
     service = Service(16, 29)
     counts = demand(45.0)
     crashed = {f"e{number:02}" for number in range(8)}
@@ -411,7 +411,7 @@
 
 
 def test_a_recent_change_is_undone_once_the_load_ratio_shifts_by_a_third():
-    """Guards against a hold that keeps a wrong split after the load has changed."""
+    """Guards against a block on reversals that keeps a wrong split after the load has changed."""
     service = Service(4, 8)
     service.plan(demand(10.0, stream_s=3.5))
     service.planner.note_ordered("e00", Stage.PREFILL, 0.0)
