--- a/src/croftchute/systems/prefill_queue.py
+++ b/src/croftchute/systems/prefill_queue.py
@@ -79,14 +79,14 @@
     def wait_s(self, *, timing: PrefillTiming, now: float) -> float:
         """Return the expected wait of one more prompt, estimated from the calls of this box."""
         own_tokens = sum(call.tokens for call in self.open_calls_by_request.values())
-        overdue_s = [
+        late_s = [
             now - call.sent_at - timing.prefill_s(call.tokens)
             for call in self.open_calls_by_request.values()
         ]
         return max(
             own_tokens / timing.tokens_per_s,
             decayed_wait_s(self.observed_wait_s, now - self.observed_at),
-            *overdue_s,
+            *late_s,
             0.0,
         )
 
--- a/src/croftchute/systems/prefill_timing.py
+++ b/src/croftchute/systems/prefill_timing.py
@@ -20,7 +20,7 @@
 """Share of the calls that are assumed not to have waited. A worker that is busy half of the time
 serves half of the calls at once."""
 
-FIT_ROUNDS = 4
+FIT_ITERATIONS = 4
 """Number of fits; each after the first uses the calls with the smallest residuals from the one
 before. The fit converges within 3 rounds."""
 
@@ -74,7 +74,7 @@
         return PrefillTiming(tokens_per_s=fastest)
     kept = useful
     fitted = PrefillTiming(tokens_per_s=fastest)
-    for _ in range(FIT_ROUNDS):
+    for _ in range(FIT_ITERATIONS):
         fitted = _fit_line(kept, fastest)
         ordered = sorted(useful, key=lambda s: s.seconds - fitted.prefill_s(s.tokens))
         kept = ordered[: max(MIN_SAMPLES // 2, int(UNQUEUED_SHARE * len(ordered)))]
--- a/src/croftchute/systems/stage_balance.py
+++ b/src/croftchute/systems/stage_balance.py
@@ -36,11 +36,11 @@
 """Relative gain in request rate that justifies a change. It is about the error of the averages.
 It also exceeds the share of a minute's requests that is lost while the worker changes."""
 
-MAX_SHARE_TO_DECODE = 0.5
+MAX_PREFILL_SHARE_CHANGING = 0.5
 """Share of the prefill workers that may change to decode at once (at least one). If more changes
 are needed, the next planning round orders them."""
 
-MAX_SHARE_TO_PREFILL = 0.1
+MAX_DECODE_SHARE_CHANGING = 0.1
 """Share of the decode workers that may change to prefill at once (at least one)."""
 
 MAX_PREFILL_SAMPLES = 32
@@ -178,16 +178,22 @@
     ``pending_stages`` maps workers with an unfinished order to the stage that counts for them.
     """
     listed = [
-        b for b in tracked_workers if b.gone_at is None and b.worker.state is WorkerState.READY
+        tracked
+        for tracked in tracked_workers
+        if tracked.gone_at is None and tracked.worker.state is WorkerState.READY
     ]
     by_stage = {
-        stage: [b for b in listed if pending_stages.get(b.worker.id, b.worker.stage) is stage]
+        stage: [
+            tracked
+            for tracked in listed
+            if pending_stages.get(tracked.worker.id, tracked.worker.stage) is stage
+        ]
         for stage in Stage
     }
     prefills, decodes = len(by_stage[Stage.PREFILL]), len(by_stage[Stage.DECODE])
     if prefills and not decodes:
         reason = "no decode worker is listed"
-        return _changes(by_stage, Stage.DECODE, 1, pending_stages, reason)
+        return _choose_changes(by_stage, Stage.DECODE, 1, pending_stages, reason)
     averages = counts.averages
     if averages is None or not decodes:
         return []
@@ -197,15 +203,15 @@
         return []
     reason = _reason(present, best, averages, capacity)
     if best.prefill_workers < prefills:
-        most = max(1, int(MAX_SHARE_TO_DECODE * prefills))
-        number = min(most, prefills - best.prefill_workers)
-        return _changes(by_stage, Stage.DECODE, number, pending_stages, reason)
-    most = max(1, int(MAX_SHARE_TO_PREFILL * decodes))
-    number = min(most, best.prefill_workers - prefills)
-    return _changes(by_stage, Stage.PREFILL, number, pending_stages, reason)
+        max_count = max(1, int(MAX_PREFILL_SHARE_CHANGING * prefills))
+        number = min(max_count, prefills - best.prefill_workers)
+        return _choose_changes(by_stage, Stage.DECODE, number, pending_stages, reason)
+    max_count = max(1, int(MAX_DECODE_SHARE_CHANGING * decodes))
+    number = min(max_count, best.prefill_workers - prefills)
+    return _choose_changes(by_stage, Stage.PREFILL, number, pending_stages, reason)
 
 
-def _changes(
+def _choose_changes(
     by_stage: dict[Stage, list[TrackedWorker]],
     stage: Stage,
     number: int,
@@ -219,14 +225,17 @@
     left = [tracked for tracked in by_stage[other] if tracked.worker.id not in pending_stages]
     chosen: list[StageChange] = []
     while left and len(chosen) < number:
-        best = min(left, key=lambda b: (sign * decodes_by_hall[b.worker.zone], *_idleness(b)))
+        best = min(
+            left,
+            key=lambda tracked: (sign * decodes_by_hall[tracked.worker.zone], *_load_key(tracked)),
+        )
         left.remove(best)
         decodes_by_hall[best.worker.zone] += sign
         chosen.append(StageChange(worker=best.worker, stage=stage, reason=reason))
     return chosen
 
 
-def _idleness(tracked: TrackedWorker) -> tuple[int, str]:
+def _load_key(tracked: TrackedWorker) -> tuple[int, str]:
     return tracked.tokens_in_flight, tracked.worker.id
 
 
--- a/src/croftchute/systems/stage_headroom.py
+++ b/src/croftchute/systems/stage_headroom.py
@@ -47,7 +47,7 @@
 """Relative shift of the load ratio that allows a recent change to be undone. It is several times
 the error of the averages."""
 
-HOLD_MULTIPLE = 2.0
+REVERSAL_HOLD_MULTIPLE = 2.0
 """Time for which a change is not undone, as a multiple of its duration. The change has no effect
 before its end, and the averages take about as long again to show the effect."""
 
@@ -176,12 +176,12 @@
         stage = Stage.PREFILL if is_prefill_short else Stage.DECODE
         if any(order.blocks(stage, load.load_ratio) for order in self._orders_by_worker.values()):
             return []
-        return self._changes(engines, stage, load, present, counts, pending_stages, scale)
+        return self._choose_changes(engines, stage, load, present, counts, pending_stages, scale)
 
     def note_ordered(self, worker_id: str, stage: Stage, now: float) -> None:
         """Record that an order was sent to a worker, which may carry it out or not."""
         if self._load is not None:
-            until = now + HOLD_MULTIPLE * self._load.change_s
+            until = now + REVERSAL_HOLD_MULTIPLE * self._load.change_s
             self._orders_by_worker[worker_id] = _Order(
                 stage=stage, load_ratio=self._load.load_ratio, until=until
             )
@@ -218,7 +218,7 @@
             )
         ]
 
-    def _changes(
+    def _choose_changes(
         self,
         engines: list[_Engine],
         stage: Stage,
@@ -236,16 +236,18 @@
         if max_count <= 0:
             return []
         free = [
-            e for e in staying if e.id not in pending_stages and not self._was_ordered(e, stage)
+            e
+            for e in staying
+            if e.id not in pending_stages and not self._has_recent_order(e, stage)
         ]
         search = _search(engines, free, stage, load)
-        target = search.best_ids(max_count=len(staying) - 1, is_exact=_is_small(engines))
+        target = search.best_ids(max_count=len(staying) - 1, is_exact=_allows_exact_search(engines))
         wanted = _utilization(_with_stage(engines, target, stage), load)
         if not target or wanted.overload > (1.0 - MIN_GAIN) * present.overload:
             return []
         first = target
         if len(target) > max_count:
-            first = search.best_ids(max_count=max_count, is_exact=_is_small(engines))
+            first = search.best_ids(max_count=max_count, is_exact=_allows_exact_search(engines))
         reason = _reason(present, wanted, counts, scale, load)
         by_id = {engine.id: engine for engine in free}
         return [
@@ -253,7 +255,7 @@
             for worker_id in first
         ]
 
-    def _was_ordered(self, engine: _Engine, stage: Stage) -> bool:
+    def _has_recent_order(self, engine: _Engine, stage: Stage) -> bool:
         """Return whether a recent order to the same stage has not taken effect yet."""
         order = self._orders_by_worker.get(engine.id)
         return order is not None and order.stage is stage
@@ -360,7 +362,7 @@
     return [replace(e, stage=stage) if e.id in ids else e for e in engines]
 
 
-def _is_small(engines: Sequence[_Engine]) -> bool:
+def _allows_exact_search(engines: Sequence[_Engine]) -> bool:
     return len(engines) <= stage_search.MAX_EXACT_ENGINES
 
 
@@ -411,7 +413,7 @@
         decodes_by_hall=Counter(
             engine.tracked.worker.zone for engine in engines if engine.stage is Stage.DECODE
         ),
-        is_to_decode=stage is Stage.DECODE,
+        adds_decode_workers=stage is Stage.DECODE,
     )
 
 
--- a/src/croftchute/systems/stage_search.py
+++ b/src/croftchute/systems/stage_search.py
@@ -20,7 +20,7 @@
 """Maximum number of exchanges that refine a greedy choice. This bounds the time; one or two are
 usual."""
 
-ROUND_DIGITS = 9
+OVERLOAD_DECIMALS = 9
 """Number of decimals in which overloads are compared. Further digits depend on the order of
 summation."""
 
@@ -63,7 +63,7 @@
     speed_lost: float = 0.0
     speed_gained: float = 0.0
 
-    def with_one(self, candidate: Candidate) -> _Choice:
+    def with_candidate(self, candidate: Candidate) -> _Choice:
         return _Choice(
             chosen=(*self.chosen, candidate),
             speed_lost=self.speed_lost + candidate.speed_lost,
@@ -85,7 +85,7 @@
     receiver: StageSpeed
     max_speed_lost: float
     decodes_by_hall: Counter[str]
-    is_to_decode: bool
+    adds_decode_workers: bool
 
     def best_ids(self, *, max_count: int, is_exact: bool) -> list[str]:
         """Return the ids of at most ``max_count`` engines to move; empty if no move helps."""
@@ -95,7 +95,7 @@
     def overload(self, choice: _Choice) -> float:
         """Return the larger ratio of utilization to target among both stages after the moves."""
         donor, receiver = self._overloads(choice)
-        return round(max(donor, receiver), ROUND_DIGITS)
+        return round(max(donor, receiver), OVERLOAD_DECIMALS)
 
     def _overloads(self, choice: _Choice) -> tuple[float, float]:
         return (
@@ -106,7 +106,7 @@
         )
 
     def _fits(self, choice: _Choice) -> bool:
-        return choice.speed_lost <= self.max_speed_lost + 10**-ROUND_DIGITS
+        return choice.speed_lost <= self.max_speed_lost + 10**-OVERLOAD_DECIMALS
 
     def _search_exact(self, max_count: int) -> _Choice:
         best = _Choice()
@@ -148,11 +148,11 @@
         while len(choice.chosen) < max_count:
             options = []
             for candidate in self._distinct_candidates(choice):
-                longer = choice.with_one(candidate)
+                longer = choice.with_candidate(candidate)
                 donor, receiver = self._overloads(longer)
                 if self._fits(longer) and (may_overload_donor or donor <= receiver):
                     options.append(
-                        (round(max(donor, receiver), ROUND_DIGITS), candidate.id, longer)
+                        (round(max(donor, receiver), OVERLOAD_DECIMALS), candidate.id, longer)
                     )
             if not options:
                 break
@@ -167,7 +167,7 @@
 
         Speeds are rounded, so that there are few distinct ones even among many engines.
         """
-        sign = 1 if self.is_to_decode else -1
+        sign = 1 if self.adds_decode_workers else -1
         halls = self.decodes_by_hall.copy()
         for candidate in choice.chosen:
             halls[candidate.hall] += sign
@@ -215,12 +215,12 @@
         removed, added = best
         exchanged = _Choice()
         for candidate in (*(c for c in choice.chosen if c not in removed), *added):
-            exchanged = exchanged.with_one(candidate)
+            exchanged = exchanged.with_candidate(candidate)
         return exchanged
 
     def _tie_break(self, choice: _Choice) -> tuple[int, int, int, tuple[str, ...]]:
         """Return the key that decides between choices of equal overload."""
-        sign = 1 if self.is_to_decode else -1
+        sign = 1 if self.adds_decode_workers else -1
         halls = self.decodes_by_hall.copy()
         for candidate in choice.chosen:
             halls[candidate.hall] += sign
--- a/tests/systems/test_stage_headroom.py
+++ b/tests/systems/test_stage_headroom.py
@@ -58,7 +58,11 @@
         self.table.upsert(worker, 0.0)
 
     def tracked_workers(self, *, without=()):
-        return [b for b in self.table.tracked_by_id.values() if b.worker.id not in without]
+        return [
+            tracked
+            for tracked in self.table.tracked_by_id.values()
+            if tracked.worker.id not in without
+        ]
 
     def speed(self, stage, *, without=()):
         """Return the summed speed of a stage without pending changes."""
@@ -295,7 +299,7 @@
         receiver=StageSpeed(required_speed=receiver_work, speed=sum(receiver_speeds)),
         max_speed_lost=sum(donor_speeds) - 0.1,
         decodes_by_hall=Counter(),
-        is_to_decode=True,
+        adds_decode_workers=True,
     )
 
 
