--- a/src/croftchute/systems/stage_search.py
+++ b/src/croftchute/systems/stage_search.py
@@ -1,7 +1,8 @@
-"""Choose the engines to move between stages so that the more overloaded stage is least overloaded.
+"""Choose the engines to move between stages to minimize the overload of the split.
 
-The search is exact for few engines and greedy for many. It has no side effects. Work and speed are
-in engines of the usual speed.
+The overload is the larger ratio of utilization to target among both stages. Engines move from the
+donor stage to the receiver stage. The search is exact for few engines and greedy for many. It has
+no side effects. Work and speed are in engines of the usual speed.
 """
 
 from __future__ import annotations
@@ -13,14 +14,15 @@
 from itertools import combinations
 
 MAX_EXACT_ENGINES = 12
-"""Most engines for which all choices are compared: up to 2,048 choices, in some milliseconds."""
+"""Maximum number of engines for exact search: up to 2,048 choices, in some milliseconds."""
 
 MAX_EXCHANGES = 8
-"""Most exchanges that refine a greedy choice. This bounds the time; one or two are usual."""
+"""Maximum number of exchanges that refine a greedy choice. This bounds the time; one or two are
+usual."""
 
-ROUND_DIGITS = 9
-"""Decimal places in which overloads are compared. The order of summation changes the digits
-beyond."""
+OVERLOAD_DECIMALS = 9
+"""Number of decimals in which overloads are compared. Further digits depend on the order of
+summation."""
 
 
 def work_over_speed(work: float, speed: float) -> float:
@@ -61,7 +63,7 @@
     speed_lost: float = 0.0
     speed_gained: float = 0.0
 
-    def with_one(self, candidate: Candidate) -> _Choice:
+    def with_candidate(self, candidate: Candidate) -> _Choice:
         return _Choice(
             chosen=(*self.chosen, candidate),
             speed_lost=self.speed_lost + candidate.speed_lost,
@@ -71,11 +73,11 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class StageSearch:
-    """One search; ``max_speed_lost`` is the most speed that the donor stage may lose.
+    """Search for the engines to move from the donor stage to the receiver stage.
 
-    Among choices of equal overload the search takes the one with the fewest engines, then the one
-    that spreads decode workers most evenly over halls, then the one with the fewest tokens in
-    progress.
+    ``max_speed_lost`` is the highest summed speed that the donor stage may lose. Among choices of
+    equal overload the search takes the one with the fewest engines, then the one that spreads
+    decode workers most evenly over halls, then the one with the fewest tokens in progress.
     """
 
     candidates: Sequence[Candidate]
@@ -83,7 +85,7 @@
     receiver: StageSpeed
     max_speed_lost: float
     decodes_by_hall: Counter[str]
-    is_to_decode: bool
+    adds_decode_workers: bool
 
     def best_ids(self, *, max_count: int, is_exact: bool) -> list[str]:
         """Return the ids of at most ``max_count`` engines to move; empty if no move helps."""
@@ -91,9 +93,9 @@
         return [candidate.id for candidate in choice.chosen]
 
     def overload(self, choice: _Choice) -> float:
-        """Return the ratio to target of the more overloaded stage after the moves."""
+        """Return the larger ratio of utilization to target among both stages after the moves."""
         donor, receiver = self._overloads(choice)
-        return round(max(donor, receiver), ROUND_DIGITS)
+        return round(max(donor, receiver), OVERLOAD_DECIMALS)
 
     def _overloads(self, choice: _Choice) -> tuple[float, float]:
         return (
@@ -104,7 +106,7 @@
         )
 
     def _fits(self, choice: _Choice) -> bool:
-        return choice.speed_lost <= self.max_speed_lost + 10**-ROUND_DIGITS
+        return choice.speed_lost <= self.max_speed_lost + 10**-OVERLOAD_DECIMALS
 
     def _search_exact(self, max_count: int) -> _Choice:
         best = _Choice()
@@ -127,9 +129,9 @@
     def _search_greedy(self, max_count: int) -> _Choice:
         """Return the better of two greedy choices.
 
-        One takes the largest gain in each step. The other first takes only engines that keep the
-        donor stage less overloaded than the receiver. The first alone may take one large engine
-        where two smaller ones fit better.
+        One takes the engine with the largest gain in each step. It can take one fast engine where
+        two slower ones would be better. The other therefore first takes only engines that keep the
+        donor stage no more overloaded than the receiver.
         """
         direct = self._extend(_Choice(), max_count, may_overload_donor=True)
         careful = self._extend(_Choice(), max_count, may_overload_donor=False)
@@ -140,16 +142,17 @@
     def _extend(self, choice: _Choice, max_count: int, *, may_overload_donor: bool) -> _Choice:
         """Add the best engine while that lowers the overload.
 
-        Unless ``may_overload_donor`` is set, the donor stage must stay the less overloaded one.
+        Unless ``may_overload_donor`` is set, the donor stage stays no more overloaded than the
+        receiver.
         """
         while len(choice.chosen) < max_count:
             options = []
             for candidate in self._distinct_candidates(choice):
-                longer = choice.with_one(candidate)
+                longer = choice.with_candidate(candidate)
                 donor, receiver = self._overloads(longer)
                 if self._fits(longer) and (may_overload_donor or donor <= receiver):
                     options.append(
-                        (round(max(donor, receiver), ROUND_DIGITS), candidate.id, longer)
+                        (round(max(donor, receiver), OVERLOAD_DECIMALS), candidate.id, longer)
                     )
             if not options:
                 break
@@ -162,9 +165,9 @@
     def _distinct_candidates(self, choice: _Choice) -> list[Candidate]:
         """Return the best remaining engine of each speed, by hall and tokens in progress.
 
-        Speeds are rounded, so that these are few however many engines there are.
+        Speeds are rounded, so that there are few distinct ones even among many engines.
         """
-        sign = 1 if self.is_to_decode else -1
+        sign = 1 if self.adds_decode_workers else -1
         halls = self.decodes_by_hall.copy()
         for candidate in choice.chosen:
             halls[candidate.hall] += sign
@@ -212,12 +215,12 @@
         removed, added = best
         exchanged = _Choice()
         for candidate in (*(c for c in choice.chosen if c not in removed), *added):
-            exchanged = exchanged.with_one(candidate)
+            exchanged = exchanged.with_candidate(candidate)
         return exchanged
 
     def _tie_break(self, choice: _Choice) -> tuple[int, int, int, tuple[str, ...]]:
         """Return the key that decides between choices of equal overload."""
-        sign = 1 if self.is_to_decode else -1
+        sign = 1 if self.adds_decode_workers else -1
         halls = self.decodes_by_hall.copy()
         for candidate in choice.chosen:
             halls[candidate.hall] += sign
