--- a/src/croftchute/systems/allowance_pool.py
+++ b/src/croftchute/systems/allowance_pool.py
@@ -1,10 +1,11 @@
 """A pool of the shares that boxes lend, which decides for all of them under a shared limit.
 
 Each of n boxes owns 1/n of every limit and lends it to a pool under a lease. A pool grants what the
-shares lent to it accrue. It considers a lease valid only by its own clock, echoed by the lender. So
-a share never counts at two pools at a time, however messages are lost, delayed, duplicated or cut
-off and however boxes pause, and all pools together grant no more than the limit. This holds as long
-as no box counts fewer boxes than there are: see ``fleet_size``.
+shares lent to it accrue. The pool decides by its own clock whether a lease is valid: the lender
+returns the pool's last time stamp with each message. So a share never counts at two pools at a
+time, even if messages are lost, delayed or duplicated, the network is cut or boxes pause, and all
+pools together grant no more than the limit. This requires that every box's count of the boxes is
+no smaller than their real number: see ``fleet_size``.
 """
 
 from __future__ import annotations
@@ -18,12 +19,13 @@
 from croftchute.tables.organisations import UsageLimit
 
 LEASE_S = 1.0
-"""Seconds for which a share is lent: three times the interval between requests, so that one may be
-lost and answers may take 0.3 s. Nothing is lent for as long after a start or after the loss of a
-pool."""
+"""Seconds for which a share is lent: three times the interval between requests, so that a lease
+survives one lost request and answers that take 0.3 s. After a start or the loss of a pool, a box
+lends nothing for the same time."""
 
 RECOUNT_INTERVAL_S = 0.02
-"""Seconds between two recounts of all leases; leases end this much earlier to allow for it."""
+"""Seconds between two recounts of all leases. Leases end this much earlier, since a recount may
+notice the end that much too late."""
 
 NO_SHARE_WAIT_S = 0.5
 """Seconds after which to retry if a pool has no shares now: half a lease and one round trip."""
@@ -113,7 +115,7 @@
             bucket.level += returned.units
 
     def sweep(self, known: Mapping[str, HasLimit], now: float) -> None:
-        """Forget lenders whose lease ended long ago, and buckets as full as unused ones."""
+        """Delete lenders whose lease ended long ago, and buckets as full as newly created ones."""
         self._recount(now)
         for box, lender in list(self.lenders_by_box.items()):
             if now - lender.expires_at > LEASE_S:
@@ -143,7 +145,7 @@
         return bucket
 
     def _saved_up(self, limit: UsageLimit, capacity: float) -> float:
-        """Return what an unused limit has accrued since the pool started."""
+        """Return the level that a bucket has if its limit was not used since the pool started."""
         started = self.terms.start_credit(limit) * self._saved_starts
         return min(capacity, limit.rate_per_s * self._saved_seconds + started)
 
@@ -161,7 +163,7 @@
     def _count(self, lender: _Lender, now: float) -> None:
         """Count what a share accrued while its lease was valid."""
         until = min(now, lender.expires_at)
-        # Boxes that know few others each lend too much; scaled, they still lend one limit.
+        # Boxes that know few others lend shares that sum to more than 1: scale them down to 1.
         share = lender.share / max(1.0, self._live_share)
         seconds = share * max(0.0, until - lender.counted_to)
         lender.counted_to = max(lender.counted_to, now)
@@ -169,7 +171,7 @@
         self._saved_seconds += seconds
 
     def _recount(self, now: float) -> None:
-        """Count all leases and drop what was accrued by shares that are no longer lent here."""
+        """Count all leases and remove what shares accrued that are no longer lent to this pool."""
         if now - self._settled_at < RECOUNT_INTERVAL_S:
             return
         self._settled_at = now
@@ -186,6 +188,6 @@
 
 
 def _limit_of(want: UsageWant, known: Mapping[str, HasLimit]) -> UsageLimit | None:
-    """Return the limit as this box knows it, or else as the request states it."""
+    """Return the limit that this box knows, or the one in the request if it knows none."""
     limited = known.get(want.name)
     return want.limit if limited is None else limited.limit
--- a/src/croftchute/systems/fleet_size.py
+++ b/src/croftchute/systems/fleet_size.py
@@ -1,9 +1,9 @@
 """The number of boxes, by which every shared limit is divided.
 
 A box that has just started knows few others, and one that starts during a network cut will not
-learn of the rest while the cut lasts. The count is therefore recorded in the platform's store,
-beside the configuration without which a box serves nobody. Until a box has read the record, or has
-the count from a box that did, it owns no share of a limit.
+learn of the rest while the cut lasts. The count is therefore recorded in the platform's store, next
+to the configuration that a box needs to serve requests. A box owns no share of a limit until it has
+read the record or received the count from a box that has read it.
 """
 
 from __future__ import annotations
@@ -13,8 +13,8 @@
 
 SHRINK_DELAY_S = 300.0
 """Seconds for which fewer boxes than recorded must be known before the record is lowered. Boxes
-that are cut off continue to use their shares; operators know of any longer cut. Until then limits
-in a fleet that shrank are short by the shares of the removed boxes."""
+that are cut off continue to use their shares, and operators are expected to notice a longer cut.
+During this time a smaller fleet grants less than its limits, by the shares of the removed boxes."""
 
 
 @dataclass(kw_only=True)
@@ -39,7 +39,7 @@
             self.recorded = max(boxes, self.recorded or 0)
 
     def boxes(self, known: int) -> int:
-        """Return the number of boxes, at least: the larger of the record and the known boxes.
+        """Return the number to divide by: the larger of the record and the known boxes, at least 1.
 
         >>> FleetSize(recorded=78).boxes(5), FleetSize(recorded=0).boxes(5)
         (78, 5)
@@ -47,7 +47,7 @@
         return max(1, known, self.recorded or 0)
 
     def share(self, known: int) -> float:
-        """Return this box's own part of each limit; 0 before the record is known.
+        """Return this box's own share of each limit; 0 until the record is known.
 
         >>> FleetSize(recorded=4).share(2), FleetSize().share(2)
         (0.25, 0.0)
@@ -55,7 +55,7 @@
         return 1.0 / self.boxes(known) if self.is_known else 0.0
 
     def to_record(self, known: int, now: float) -> int | None:
-        """Return the new value for the record; None if it may stay as it is."""
+        """Return the value to write to the record; None if it needs no change."""
         if self.recorded is None or known == self.recorded:
             self._fewer_since = math.inf
             return None
--- a/src/croftchute/systems/hall_relays.py
+++ b/src/croftchute/systems/hall_relays.py
@@ -2,8 +2,8 @@
 
 Each call of the store is billed, so a few boxes of each hall watch it and the others follow one of
 them. There is no election: each box ranks the live boxes of its hall by the same hash, and the
-first ones read. Boxes with much wider links rank before the others. Boxes that see different peers
-for a moment rank them differently; then a few more of them read the store, which does no harm.
+first ones read. Boxes with wide links rank before the others. Boxes that know different peers for a
+moment rank them differently; then a few more of them read the store, which costs only extra calls.
 """
 
 from __future__ import annotations
@@ -32,14 +32,15 @@
 receive each other's notices every two to three seconds."""
 
 RELAY_BACKOFF_S = 4.0
-"""Seconds for which a relay that did not answer, or has lost the store, is not asked again."""
+"""Seconds for which a relay that did not answer, or cannot reach the store, is not asked again."""
 
 MIN_STORE_LOST_REPORTS = 2
-"""Relays that must report the store as lost before a follower takes it as lost for the hall."""
+"""Relays that must report the store as unreachable before a follower assumes that it is so for the
+whole hall."""
 
 RELAY_DUTY_S = 15.0
-"""Seconds for which a box that was asked for updates reads the store, even if it ranks itself
-low."""
+"""Seconds for which a box that was asked for updates reads the store, even if its own ranking does
+not make it a relay."""
 
 
 @dataclass(kw_only=True)
@@ -69,7 +70,7 @@
         return next((peers_by_id[box] for box in usable if box in peers_by_id), None)
 
     def skip_relay(self, box_id: str, now: float, *, has_lost_store: bool = False) -> None:
-        """Ask other relays for a while, because this one returned nothing."""
+        """Do not ask a relay for ``RELAY_BACKOFF_S`` seconds, because it returned nothing."""
         self._skipped_until = _unexpired(self._skipped_until, now)
         self._skipped_until[box_id] = now + RELAY_BACKOFF_S
         self._lost_until = _unexpired(self._lost_until, now)
@@ -77,11 +78,11 @@
             self._lost_until[box_id] = now + RELAY_BACKOFF_S
 
     def is_store_lost(self, now: float) -> bool:
-        """Return whether several relays of the hall have lost the store too."""
+        """Return whether several relays of the hall recently reported the store as unreachable."""
         return len(_unexpired(self._lost_until, now)) >= MIN_STORE_LOST_REPORTS
 
     def note_asked(self, now: float) -> None:
-        """Read the store for a while, because another box asked this one for updates."""
+        """Read the store for ``RELAY_DUTY_S`` seconds, because another box asked for updates."""
         self._asked_until = now + RELAY_DUTY_S
 
     def has_relay_duty(self, now: float) -> bool:
@@ -97,11 +98,11 @@
         return rank_nodes(self.hall, wide) + rank_nodes(self.hall, narrow)
 
     def _rotated(self, relays: list[str]) -> list[str]:
-        """Return the relays in this box's own order, so that each gets its share of followers."""
+        """Return the relays in an order that depends on this box, to spread followers over them."""
         turn = rendezvous_weight(self.hall, self.own_id) % len(relays)
         return relays[turn:] + relays[:turn]
 
 
 def _unexpired(until_by_box: dict[str, float], now: float) -> dict[str, float]:
-    """Return the entries whose time is not over yet."""
+    """Return the entries that have not expired."""
     return {box: until for box, until in until_by_box.items() if until > now}
--- a/src/croftchute/systems/lent_share.py
+++ b/src/croftchute/systems/lent_share.py
@@ -1,8 +1,9 @@
 """Choose the pool to which a box lends its share of all limits, and track the lease.
 
-Boxes rank the live boxes alike for each group of organisations and lend to the first. While their
-views differ they lend to different pools, each of which then grants less. No share counts twice,
-because a box lends to another pool only after its lease at the present one has ended.
+For each group of organisations, every box ranks the live boxes by the same hash and lends to the
+first one. While boxes know different sets of live boxes, they lend to different pools, each of
+which grants only the shares lent to it. No share counts twice, because a box lends to another pool
+only after its lease at the previous one has expired.
 """
 
 from __future__ import annotations
@@ -20,23 +21,24 @@
 for notices."""
 
 SUSPECTED_S = 8.0
-"""Seconds for which a pool that did not answer is not asked. A stopped box stays known for a
-minute, and each request to it would delay a caller by a quarter of a second."""
+"""Seconds for which a pool that did not answer is not asked. A stopped box remains in the table of
+peers for a minute, and each request to it would delay a caller by a quarter of a second."""
 
 STARTUP_SUSPECTED_S = 0.3
-"""The same in the first seconds after a start: after a power loss of all boxes the pool may be a
-box that starts more slowly than this one."""
+"""Seconds for which such a pool is not asked during the first ``STARTUP_S`` seconds after a start.
+It is shorter because after a power loss of all boxes the pool may only be starting more slowly."""
 
 MIN_UNANSWERED = 3
 """Unanswered requests in a row after which a pool is suspected; two may be lost on the network."""
 
 MIN_SILENCE_S = 0.15
-"""Seconds without an answer before a pool is suspected, since many requests may be open at once."""
+"""Least seconds without an answer before a pool is suspected: with many requests open at once, the
+count of unanswered ones alone is not enough."""
 
 
 CONVERGENCE_S = 1.2
-"""Seconds until all shares are lent again after a start or the loss of a pool: one lease must
-expire, and part of another renewal round follows."""
+"""Seconds until all shares are lent again after a start or the loss of a pool: the previous lease
+must expire, and the next renewal comes part of an interval later."""
 
 STARTUP_S = 3.0
 """Seconds after a start in which other boxes may still be starting too."""
@@ -60,9 +62,10 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Lease:
-    """What a box sends to a pool with a request: the share lent and the echo of its clock.
+    """What a box sends to a pool with a request: the share lent and the pool's last time stamp.
 
-    ``share`` is 0 if none is lent. ``is_first`` marks the first share that the box lends after its
+    ``echo`` returns the stamp to the pool, whose clock decides when the lease expires. ``share`` is
+    0 if none is lent. ``is_first`` marks the first share that the box lends after its
     start.
     """
 
@@ -111,7 +114,7 @@
         self._unanswered += 1
         if self._silent_since is None:
             self._silent_since = now
-        # An echo older than a lease lends nothing, for instance after a time without limits.
+        # The pool rejects a stamp older than a lease, as after a time in which no limit was set.
         is_echo_good = now - self._echo_heard_at < LEASE_S
         echo = now if self.pool == self.own_id else self._echo if is_echo_good else 0.0
         if echo <= 0.0 or now - self.started_at < LEASE_S:
@@ -123,7 +126,7 @@
 
     @property
     def converges_at(self) -> float:
-        """When shares will have come together after a start, or after a pool fell silent."""
+        """When all shares should be lent again after a start or after a pool stopped answering."""
         return max(self.started_at, self._silence_noted_at) + CONVERGENCE_S
 
     def is_lent(self, now: float) -> bool:
@@ -155,7 +158,7 @@
         self._silent_since = None
 
     def _present_or(self, wanted: str, now: float) -> str:
-        """Return the pool that still holds the share, or ``wanted`` if it does not answer."""
+        """Return the pool that the share is lent to, or ``wanted`` if that pool is suspected."""
         return wanted if self._is_suspected(self.pool, now) else self.pool
 
     def _best(self, boxes: Sequence[str], now: float) -> str:
--- a/src/croftchute/systems/peer_table.py
+++ b/src/croftchute/systems/peer_table.py
@@ -1,4 +1,4 @@
-"""The known boxes and their latest notices; bounded, and never waits for a peer."""
+"""A table of the known boxes and their latest notices; its size is bounded and no call blocks."""
 
 from __future__ import annotations
 
@@ -14,17 +14,17 @@
 from croftchute.tables.peers import OrganisationUseNotice, Peer, RankRoomNotice, WorkerNotice
 
 FRESH_S = 1.5
-"""Seconds for which a notice counts: three in a row may be lost."""
+"""Seconds for which the contents of a notice are used: three in a row may be lost."""
 
 COUNTED_S = 12.0
-"""Seconds since its last notice for which a box counts as one that shares the budgets."""
+"""Seconds since its last notice for which a box is counted when budgets are divided."""
 
 FORGET_S = 60.0
-"""Seconds after which a silent box is forgotten."""
+"""Seconds without a notice after which a box is removed from the table."""
 
 HALL_TIMEOUT_S = 1.5
-"""Seconds without a notice from any box of a hall after which the hall counts as cut off. Of 26
-boxes about three are received per second; of two, each twice per second."""
+"""Seconds without a notice from any box of a hall after which the hall counts as cut off. A box
+receives about three notices per second from a hall of 26 boxes, and four from a hall of two."""
 
 FANOUT = 10
 """Boxes that a notice is sent to; bounds a box's traffic however large the fleet is."""
@@ -34,7 +34,7 @@
 expensive, and boxes of a hall follow one another's updates."""
 
 MAX_INTRODUCED_PEERS = 4
-"""Addresses of other boxes in a notice; a new box knows all boxes after a few notices."""
+"""Most addresses of other boxes in a notice; enough for a new box to learn all within a few."""
 
 MAX_PEERS = 1024
 """Most known boxes: more than twice the fleet size that docs/CAPACITY.md derives."""
@@ -83,14 +83,14 @@
         return known is None or known.started_at < notice.started_at
 
     def forget(self, now: float) -> list[str]:
-        """Drop peers that have been silent for long; return their ids."""
+        """Remove peers that sent no notice for ``FORGET_S`` seconds; return their ids."""
         old = [peer.id for peer in self.peers_by_id.values() if now - peer.heard_at > FORGET_S]
         for peer_id in old:
             self._drop_entries(self.peers_by_id.pop(peer_id))
         return old
 
     def note_address(self, box: str, host: str, port: int) -> None:
-        """Keep the notice address of one box that has not been heard from; the latest call wins."""
+        """Store the notice address of a box that sent no notice yet; only one is stored."""
         self._named_by_id = {box: (host, port)}
 
     def address_of(self, box: str) -> tuple[str, int] | None:
@@ -143,10 +143,10 @@
         ]
 
     def reachable(self, now: float) -> list[str]:
-        """Return the boxes that are not leaving, in halls that sent a notice just now.
+        """Return the boxes that are not leaving and whose halls are not cut off.
 
-        A single box is heard too rarely to be judged by its own notices, and network cuts affect
-        whole halls.
+        The notices of a single box arrive too rarely to judge it by, and network cuts affect whole
+        halls.
         """
         heard_at_by_hall: dict[str, float] = {}
         for peer in self.peers_by_id.values():
@@ -266,9 +266,9 @@
     def newest(self, now: float, rng: random.Random) -> tuple[Peer | None, Peer | None]:
         """Return the live peers with the newest configuration and the newest worker list.
 
-        Among equals, peers that are not leaving come first, since a leaving one may break off its
-        answer; then peers of the own hall. The rest is chosen at random: otherwise all boxes that
-        are behind would ask the box that most of them heard of first.
+        Among equals, peers that are not leaving come first, since a leaving one may stop in the
+        middle of its answer; then peers of the own hall. Remaining ties are broken at random:
+        otherwise all boxes with old data would ask the same peer.
         """
         live = [peer for peer in self.peers_by_id.values() if now - peer.heard_at <= FRESH_S]
         if not live:
--- a/src/croftchute/systems/prefetched_usage.py
+++ b/src/croftchute/systems/prefetched_usage.py
@@ -1,4 +1,4 @@
-"""Units that one box has obtained ahead for an organisation; they expire soon."""
+"""Units that a box has obtained for an organisation in advance; they expire after a second."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 from dataclasses import dataclass, field
 
 LOT_TTL_S = 1.0
-"""Seconds for which prefetched units may be used; used later, they could fall into another
-window."""
+"""Seconds for which prefetched units may be used. Units used much later than granted could exceed
+the limit in the later window."""
 
 PREFETCH_S = 0.25
 """Seconds of an organisation's present use that a box prefetches, so that it asks less often."""
@@ -21,7 +21,7 @@
 """Time constant of the moving average of use, in seconds."""
 
 IDLE_S = 5.0
-"""Seconds without a request after which nothing is kept for an organisation."""
+"""Seconds without a request after which an organisation's entry may be deleted."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
@@ -87,5 +87,5 @@
         self.lots.extendleft(reversed(lots))
 
     def is_idle(self, now: float) -> bool:
-        """Return whether nothing here is worth keeping."""
+        """Return whether the organisation has sent no request for ``IDLE_S`` seconds."""
         return now - self.used_at > IDLE_S
--- a/src/croftchute/systems/retry_budget.py
+++ b/src/croftchute/systems/retry_budget.py
@@ -1,4 +1,4 @@
-"""One box's share of a retry budget that all boxes have together for a service."""
+"""One box's share of the retry budget of a service, which all boxes share."""
 
 from __future__ import annotations
 
@@ -6,7 +6,8 @@
 from dataclasses import dataclass, field
 
 SAFETY_FACTOR = 0.7
-"""Share of the budget that is used, because boxes learn late of each other and windows slide."""
+"""Share of the budget that is used. The rest covers boxes that have not discovered each other yet,
+and requests that leave the sliding window before their retries."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
--- a/src/croftchute/systems/usage_bucket.py
+++ b/src/croftchute/systems/usage_bucket.py
@@ -7,23 +7,23 @@
 from croftchute.tables.organisations import UsageLimit
 
 SAVED_EXCESS_RATIO = 0.5
-"""Share of the allowed excess that buckets may save beside the burst. The rest covers units that
-are used later than granted, and boxes that learn late of each other."""
+"""Share of the allowed excess that buckets may hold in addition to the burst. The rest covers units
+that are used later than granted, and the time until boxes have discovered each other."""
 
 
 START_CREDIT_RATIO = 0.2
-"""Share of the allowed excess that a box's share adds once after each start of the box. A pool that
-starts empty would refuse an organisation until one request's units have accrued, after each start
-of a fleet. Beside ``SAVED_EXCESS_RATIO``, two starts of all boxes fit within one window; a third
-takes the boxes so long that what accrues meanwhile covers it."""
+"""Share of the allowed excess that a box's share adds once after each start of the box. Without it,
+pools would be empty after a start of the fleet and refuse requests until enough units accrue. The
+excess left by ``SAVED_EXCESS_RATIO`` covers two starts of all boxes in one window. A third takes so
+long that the units which the limit accrues meanwhile cover its credit."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class LimitTerms:
-    """How strictly limits are applied: the window, and what is allowed on top.
+    """The tolerance of limits: the window they are measured in, and the excess allowed in it.
 
-    In any ``window_s`` seconds an organisation may use its rate times the window plus its burst, a
-    share ``overage`` more, and ``slack`` units.
+    In any ``window_s`` seconds an organisation may use its rate times the window plus its burst,
+    multiplied by ``1 + overage``, plus ``slack`` units.
     """
 
     window_s: float = 10.0
@@ -52,11 +52,11 @@
         return self.allowed(limit) - limit.rate_per_s * self.window_s - limit.burst
 
     def start_credit(self, limit: UsageLimit) -> float:
-        """Return the units credited when all boxes have just started, for a whole limit."""
+        """Return the units credited for a whole limit, as when all boxes have just started."""
         return START_CREDIT_RATIO * self.excess(limit)
 
     def capacity(self, limit: UsageLimit) -> float:
-        """Return the most that may be saved: the burst and a part of the allowed excess.
+        """Return the most units that a bucket may hold: the burst and part of the allowed excess.
 
         >>> LimitTerms(window_s=8, overage=0.1, slack=50).capacity(
         ...     UsageLimit(rate_per_s=100, burst=200)
--- a/src/croftchute/tables/allowances.py
+++ b/src/croftchute/tables/allowances.py
@@ -29,13 +29,13 @@
 
     @property
     def limit(self) -> UsageLimit:
-        """The limit as the asking box knows it."""
+        """The limit as the requesting box knows it."""
         return UsageLimit(rate_per_s=self.rate_per_s, burst=self.burst, unit=LimitUnit.TOKENS)
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class UsageGrant:
-    """The granted units; if 0, ``wait_s`` is when there will be enough."""
+    """The granted units; if 0, ``wait_s`` is the seconds until enough should have accrued."""
 
     name: str
     units: float
--- a/src/croftchute/tables/fleet.py
+++ b/src/croftchute/tables/fleet.py
@@ -10,7 +10,7 @@
     """The number of boxes and the main pool of the limits, as last written.
 
     ``pool`` is the id of the box that most others lend to; ``host`` and ``port`` are its notice
-    address. All are empty if there was no such box yet.
+    address. All three are empty or 0 if there was no such box yet.
     """
 
     boxes: int
--- a/src/croftchute/tables/organisations.py
+++ b/src/croftchute/tables/organisations.py
@@ -8,7 +8,7 @@
 from enum import StrEnum
 
 DIGEST_BYTES = 16
-"""Length of a key's digest: the keys of 27,000 organisations don't collide by chance."""
+"""Length of a key's digest: long enough that the keys of 27,000 organisations don't collide."""
 
 FINGERPRINT_BYTES = 4
 """Length of a key's fingerprint in logs: enough to tell keys apart, too short to test guessed keys
@@ -36,7 +36,7 @@
 
 
 class LimitMode(StrEnum):
-    """How a limit over all boxes is applied: by pools of lent shares, or a fixed share per box."""
+    """How boxes apply a shared limit: by pools of lent shares, or by a fixed share per box."""
 
     POOLED = "pooled"
     FIXED = "fixed"
--- a/src/croftchute/tables/peers.py
+++ b/src/croftchute/tables/peers.py
@@ -1,4 +1,4 @@
-"""What boxes of the forwarding fleet know of each other, and their latest notices."""
+"""What boxes report to each other in notices, and what a box knows about each of its peers."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class WorkerPaceNotice:
-    """A worker's processing time relative to what is usual for its service; 0 if unknown.
+    """A worker's processing time divided by the usual one of its service; 0 if unknown.
 
     ``told`` is the worker's own report, ``told_age_s`` old; ``seen`` is what the sender measured,
     over answers of total weight ``seen_weight``.
@@ -43,10 +43,10 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class LimitNotice:
-    """The calls per second that a worker accepts from all boxes, and the age of that report.
+    """The calls per second that a worker accepts from all boxes; ``named_s`` is the report's age.
 
-    ``left_out_s`` is how long ago the first later answer without the limit came; negative if none
-    came.
+    ``left_out_s`` is the age of the first later answer without the limit; negative if there is
+    none.
     """
 
     worker: str
@@ -57,7 +57,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class RankRoomNotice:
-    """How long requests of one rank waited for room at a box; ``waiting`` of them wait now.
+    """How long requests of one rank waited for room at a box, and how many are waiting now.
 
     ``waited_s`` and ``grants``: see ``systems/room_forecast.py``.
     """
--- a/tests/systems/test_allowance_pool.py
+++ b/tests/systems/test_allowance_pool.py
@@ -12,7 +12,7 @@
 
 
 def granted_ratio(seconds, share):
-    """Return the part of the limit granted under overload, if forty boxes lend a share each."""
+    """Return the ratio of the limit granted under overload if forty boxes each lend ``share``."""
     limit = crew_limit()
     known = {CREW: Organisation(name=CREW, limit=limit)}
     pool = AllowancePool(terms=TERMS)
--- a/tests/systems/test_fleet_size.py
+++ b/tests/systems/test_fleet_size.py
@@ -1,4 +1,4 @@
-"""The count of boxes that limits are divided by: never too small, and corrected in time."""
+"""The count of boxes that limits are divided by is never too small, and is lowered with a delay."""
 
 import pytest
 
--- a/tests/systems/test_hall_relays.py
+++ b/tests/systems/test_hall_relays.py
@@ -1,4 +1,4 @@
-"""Which boxes of a hall read the store: a few, the same in all views, and others on failure."""
+"""A few boxes of a hall read the store: all boxes choose the same ones and replace failed ones."""
 
 from croftchute.systems.hall_relays import (
     MAX_RELAYS,
--- a/tests/systems/test_lent_shares.py
+++ b/tests/systems/test_lent_shares.py
@@ -1,6 +1,6 @@
-"""Limits shared by lent shares: never exceeded, whatever happens between boxes.
+"""Pools of lent shares never exceed a limit, whichever boxes or links fail.
 
-The loads follow what is seen in the field: an organisation sends several times its usual load
+The loads follow those seen in operation: an organisation sends several times its usual load
 through a few boxes or all, while halls are cut off and boxes pause, lose power or restart. The
 sizes are those of a fleet of 78 boxes with 16 organisations, with some requests of 4,000 tokens.
 """
@@ -137,7 +137,10 @@
 
 
 def max_granted_ratio_after_start_during_cut(recorded):
-    """Restart all boxes while a hall is cut off, so that none knows a box beyond the cut."""
+    """Return the maximum used in a window, relative to the allowed, if all boxes restart in a cut.
+
+    No box then knows a box beyond the cut.
+    """
     size = FleetSize(recorded=recorded)
     world = world_with_leases(boxes=12, size=size, counts_by_sight=True)
     world.load(5.0, 30.0, FLOOD_TOKENS_PER_S)
--- a/tests/systems/test_peer_table.py
+++ b/tests/systems/test_peer_table.py
@@ -103,7 +103,6 @@
 
 
 def test_averages_do_not_depend_on_the_number_of_fresh_peers():
-    """Averages do not depend on how many peers were heard lately."""
     table = PeerTable(own_id="me")
     table.apply_notice("b", NOTICE, 0.0)
     table.apply_notice("c", NOTICE, 5.0)
--- a/tests/systems/test_worker_rates.py
+++ b/tests/systems/test_worker_rates.py
@@ -1,7 +1,7 @@
-"""The limit that a worker sets, applied by all boxes together: not exceeded, and mostly used.
+"""All boxes together do not exceed the limit that a worker sets, and use most of it.
 
-The users set the bounds: in any 4 s or so, no more than one and a half times what the limit allows
-plus five calls. The loads request several times the limit.
+The bounds are the users' requirement: in any window of about 4 s, no more than one and a half times
+what the limit allows, plus five calls. The loads request several times the limit.
 """
 
 import random
@@ -38,7 +38,7 @@
 
 
 def used_share(world, per_s):
-    """Return the share of a limit that was used after the shares had come together."""
+    """Return the ratio of a limit that was used once all shares had been lent."""
     used = sum(units for when, units in world.taken if when >= USE_BEGINS)
     return used / (per_s * (ENDS - USE_BEGINS))
 
