--- a/src/croftchute/forwarding/workers/request_run.py
+++ b/src/croftchute/forwarding/workers/request_run.py
@@ -298,7 +298,7 @@
         self.log(
             Decision.REPEAT_DENIED,
             outcome="budget spent",
-            repeats=len(window.repeat_times),
+            repeats=len(window.retry_times),
             allowed=round(window.allowed(self.now, boxes=self.state.boxes), 2),
             boxes=self.state.boxes,
         )
--- a/src/croftchute/systems/retry_budget.py
+++ b/src/croftchute/systems/retry_budget.py
@@ -25,7 +25,7 @@
 
     limits: RetryLimits
     request_times: deque[float] = field(default_factory=deque)
-    repeat_times: deque[float] = field(default_factory=deque)
+    retry_times: deque[float] = field(default_factory=deque)
 
     def allowed(self, now: float, *, boxes: int) -> float:
         """Return how many retries this box may send in the window that ends now."""
@@ -41,13 +41,13 @@
     def spend(self, now: float, *, boxes: int) -> bool:
         """Take one retry from the budget; return False if none is left."""
         allowed = self.allowed(now, boxes=boxes)
-        if len(self.repeat_times) + 1 > allowed:
+        if len(self.retry_times) + 1 > allowed:
             return False
-        self.repeat_times.append(now)
+        self.retry_times.append(now)
         return True
 
     def _expire(self, now: float) -> None:
         start = now - self.limits.window_s
-        for times in (self.request_times, self.repeat_times):
+        for times in (self.request_times, self.retry_times):
             while times and times[0] <= start:
                 times.popleft()
--- a/tests/systems/test_retry_budget.py
+++ b/tests/systems/test_retry_budget.py
@@ -9,7 +9,7 @@
     rng = random.Random(11)
     boxes = 8
     windows = [RetryWindow(limits=LIMITS) for _ in range(boxes)]
-    requests, repeats = [], []
+    requests, retries = [], []
     now = 0.0
     for _ in range(4000):
         now += rng.expovariate(40.0)
@@ -17,10 +17,10 @@
         window.note_request(now)
         requests.append(now)
         if rng.random() < 0.8 and window.spend(now, boxes=boxes):
-            repeats.append(now)
+            retries.append(now)
         recent_requests = sum(at > now - LIMITS.window_s for at in requests)
-        recent_repeats = sum(at > now - LIMITS.window_s for at in repeats)
-        assert recent_repeats <= LIMITS.ratio * recent_requests + LIMITS.slack
+        recent_retries = sum(at > now - LIMITS.window_s for at in retries)
+        assert recent_retries <= LIMITS.ratio * recent_requests + LIMITS.slack
 
 
 def test_budget_is_restored_after_the_window():
