--- a/src/croftchute/forwarding/boxes/shared_rates.py
+++ b/src/croftchute/forwarding/boxes/shared_rates.py
@@ -329,7 +329,7 @@
         group = self.groups[reply.group]
         group.share.note_reply(sender, reply.stamp, self.state.clock())
         if sender != self.state.box:
-            self.size.note_told(reply.boxes)
+            self.size.note_reported(reply.boxes)
         answer = self._answers_by_number.pop(reply.number, None)
         if answer is not None and not answer.done() and reply.grants:
             answer.set_result(reply)
--- a/src/croftchute/systems/fleet_size.py
+++ b/src/croftchute/systems/fleet_size.py
@@ -33,7 +33,7 @@
         """Whether the record has been read here or by a box that reported it."""
         return self.recorded is not None
 
-    def note_told(self, boxes: int) -> None:
+    def note_reported(self, boxes: int) -> None:
         """Record the count reported by another box; 0 if that box does not know it."""
         if boxes > 0:
             self.recorded = max(boxes, self.recorded or 0)
--- a/tests/systems/test_fleet_size.py
+++ b/tests/systems/test_fleet_size.py
@@ -22,10 +22,10 @@
 
 def test_reported_count_stands_in_for_the_record_and_never_lowers_it():
     size = FleetSize()
-    size.note_told(0)
+    size.note_reported(0)
     assert not size.is_known
-    size.note_told(60)
-    size.note_told(20)
+    size.note_reported(60)
+    size.note_reported(20)
     assert size.recorded == 60
 
 
