--- a/src/croftchute/systems/allowance_pool.py
+++ b/src/croftchute/systems/allowance_pool.py
@@ -57,11 +57,11 @@
     lenders_by_box: dict[str, _Lender] = field(default_factory=dict)
     buckets_by_name: dict[str, UsageBucket] = field(default_factory=dict)
     _share_seconds: float = 0.0
-    _saved_seconds: float = 0.0
-    _starts: float = 0.0
-    _saved_starts: float = 0.0
+    _unused_share_seconds: float = 0.0
+    _start_credits: float = 0.0
+    _unused_start_credits: float = 0.0
     _live_share: float = 0.0
-    _settled_at: float = 0.0
+    _recounted_at: float = 0.0
 
     def lend(
         self, box: str, share: float, *, echo: float, now: float, is_first: bool = False
@@ -74,7 +74,7 @@
         self._recount(now)
         lender = self.lenders_by_box.get(box)
         if lender is not None:
-            self._count(lender, now)
+            self._count_accrual(lender, now)
         if share <= 0.0 or not now - LEASE_S < echo <= now:
             return
         expires_at = echo + LEASE_S - RECOUNT_INTERVAL_S
@@ -82,8 +82,8 @@
             lender = _Lender(share=share, counted_to=now, expires_at=expires_at)
             self.lenders_by_box[box] = lender
             if is_first:
-                self._starts += share
-                self._saved_starts += share
+                self._start_credits += share
+                self._unused_start_credits += share
         lender.share = share
         lender.expires_at = max(lender.expires_at, expires_at)
         self._live_share = self.live_share(now)
@@ -123,44 +123,44 @@
         for name, bucket in list(self.buckets_by_name.items()):
             limited = known.get(name)
             limit = limited.limit if limited is not None else None
-            if limit is None or self._is_as_unused(bucket, limit):
+            if limit is None or self._is_full_as_new(bucket, limit):
                 del self.buckets_by_name[name]
 
-    def _is_as_unused(self, bucket: UsageBucket, limit: UsageLimit) -> bool:
+    def _is_full_as_new(self, bucket: UsageBucket, limit: UsageLimit) -> bool:
         capacity = self.terms.capacity(limit) * min(1.0, self._live_share)
         self._fill(bucket, limit, capacity)
-        return bucket.level >= self._saved_up(limit, capacity) > 0.0
+        return bucket.level >= self._unused_level(limit, capacity) > 0.0
 
     def _bucket(self, name: str, limit: UsageLimit, capacity: float) -> UsageBucket:
         """Return the bucket of a limit, created with what has accrued since the pool started."""
         bucket = self.buckets_by_name.get(name)
         if bucket is None:
             bucket = UsageBucket(
-                level=self._saved_up(limit, capacity),
+                level=self._unused_level(limit, capacity),
                 filled_to=self._share_seconds,
-                starts=self._starts,
+                start_credits=self._start_credits,
             )
             self.buckets_by_name[name] = bucket
         self._fill(bucket, limit, capacity)
         return bucket
 
-    def _saved_up(self, limit: UsageLimit, capacity: float) -> float:
+    def _unused_level(self, limit: UsageLimit, capacity: float) -> float:
         """Return the level that a bucket has if its limit was not used since the pool started."""
-        started = self.terms.start_credit(limit) * self._saved_starts
-        return min(capacity, limit.rate_per_s * self._saved_seconds + started)
+        started = self.terms.start_credit(limit) * self._unused_start_credits
+        return min(capacity, limit.rate_per_s * self._unused_share_seconds + started)
 
     def _fill(self, bucket: UsageBucket, limit: UsageLimit, capacity: float) -> None:
         """Add what the lent shares have accrued since the last fill."""
-        extra = self.terms.start_credit(limit) * (self._starts - bucket.starts)
-        bucket.starts = self._starts
+        extra = self.terms.start_credit(limit) * (self._start_credits - bucket.start_credits)
+        bucket.start_credits = self._start_credits
         bucket.fill(self._share_seconds, limit=limit, capacity=capacity, extra=extra)
 
     def _wait_s(self, missing: float, limit: UsageLimit) -> float:
         """Return the seconds until the missing units have accrued."""
-        pace = limit.rate_per_s * min(1.0, self._live_share)
-        return NO_SHARE_WAIT_S if pace <= 0.0 else max(0.0, missing) / pace
+        rate_per_s = limit.rate_per_s * min(1.0, self._live_share)
+        return NO_SHARE_WAIT_S if rate_per_s <= 0.0 else max(0.0, missing) / rate_per_s
 
-    def _count(self, lender: _Lender, now: float) -> None:
+    def _count_accrual(self, lender: _Lender, now: float) -> None:
         """Count what a share accrued while its lease was valid."""
         until = min(now, lender.expires_at)
         # Boxes that know few others lend shares that sum to more than 1: scale them down to 1.
@@ -168,20 +168,20 @@
         seconds = share * max(0.0, until - lender.counted_to)
         lender.counted_to = max(lender.counted_to, now)
         self._share_seconds += seconds
-        self._saved_seconds += seconds
+        self._unused_share_seconds += seconds
 
     def _recount(self, now: float) -> None:
         """Count all leases and remove what shares accrued that are no longer lent to this pool."""
-        if now - self._settled_at < RECOUNT_INTERVAL_S:
+        if now - self._recounted_at < RECOUNT_INTERVAL_S:
             return
-        self._settled_at = now
+        self._recounted_at = now
         for lender in self.lenders_by_box.values():
-            self._count(lender, now)
+            self._count_accrual(lender, now)
         live = self.live_share(now)
         if live < self._live_share:
             kept = live / self._live_share
-            self._saved_seconds *= kept
-            self._saved_starts *= kept
+            self._unused_share_seconds *= kept
+            self._unused_start_credits *= kept
             for bucket in self.buckets_by_name.values():
                 bucket.level = min(bucket.level, bucket.level * kept)
         self._live_share = live
--- a/src/croftchute/systems/lent_share.py
+++ b/src/croftchute/systems/lent_share.py
@@ -96,7 +96,7 @@
     _silent_since: float | None = None
     _suspected_until: dict[str, float] = field(default_factory=dict)
 
-    def _choose(self, wanted: str, now: float) -> None:
+    def _switch_pool(self, wanted: str, now: float) -> None:
         """Switch to the wanted pool once the share is no longer lent to another one."""
         if wanted == self.pool:
             return
@@ -107,16 +107,16 @@
 
     def renew_lease(self, boxes: Sequence[str], share: float, now: float) -> Lease:
         """Return the pool to ask now and the share lent to it with the request."""
-        wanted = self._best(boxes, now)
-        self._choose(wanted, now)
+        wanted = self._first_ranked(boxes, now)
+        self._switch_pool(wanted, now)
         if wanted != self.pool:
-            return Lease(pool=self._present_or(wanted, now), share=0.0, echo=0.0)
+            return Lease(pool=self._current_pool_or(wanted, now), share=0.0, echo=0.0)
         self._unanswered += 1
         if self._silent_since is None:
             self._silent_since = now
         # The pool rejects a stamp older than a lease, as after a time in which no limit was set.
-        is_echo_good = now - self._echo_heard_at < LEASE_S
-        echo = now if self.pool == self.own_id else self._echo if is_echo_good else 0.0
+        is_echo_valid = now - self._echo_heard_at < LEASE_S
+        echo = now if self.pool == self.own_id else self._echo if is_echo_valid else 0.0
         if echo <= 0.0 or now - self.started_at < LEASE_S:
             return Lease(pool=self.pool, share=0.0, echo=0.0)
         self._lent_until = now + LEASE_S
@@ -149,21 +149,21 @@
         if self._unanswered < MIN_UNANSWERED or now - silent_since < MIN_SILENCE_S:
             return False
         self._silence_noted_at = now
-        is_young = now - self.started_at < STARTUP_S
-        self._suspected_until[pool] = now + (STARTUP_SUSPECTED_S if is_young else SUSPECTED_S)
+        is_starting = now - self.started_at < STARTUP_S
+        self._suspected_until[pool] = now + (STARTUP_SUSPECTED_S if is_starting else SUSPECTED_S)
         return True
 
     def _reset_silence(self) -> None:
         self._unanswered = 0
         self._silent_since = None
 
-    def _present_or(self, wanted: str, now: float) -> str:
+    def _current_pool_or(self, wanted: str, now: float) -> str:
         """Return the pool that the share is lent to, or ``wanted`` if that pool is suspected."""
         return wanted if self._is_suspected(self.pool, now) else self.pool
 
-    def _best(self, boxes: Sequence[str], now: float) -> str:
-        sound = [box for box in boxes if not self._is_suspected(box, now)]
-        return rank_nodes(f"limits-{self.group}", {*sound, self.own_id})[0]
+    def _first_ranked(self, boxes: Sequence[str], now: float) -> str:
+        unsuspected = [box for box in boxes if not self._is_suspected(box, now)]
+        return rank_nodes(f"limits-{self.group}", {*unsuspected, self.own_id})[0]
 
     def _is_suspected(self, box: str, now: float) -> bool:
         return self._suspected_until.get(box, 0.0) > now
--- a/src/croftchute/systems/usage_bucket.py
+++ b/src/croftchute/systems/usage_bucket.py
@@ -70,13 +70,13 @@
 class UsageBucket:
     """A bucket of saved units; ``filled_to`` is the share-seconds up to which it is filled.
 
-    A share-second is the whole limit for one second, or half of it for two. ``starts`` is the
-    number of whole limits credited so far for boxes that just started.
+    A share-second is the whole limit for one second, or half of it for two. ``start_credits`` is
+    the number of whole limits credited so far for boxes that just started.
     """
 
     level: float
     filled_to: float
-    starts: float = 0.0
+    start_credits: float = 0.0
 
     def fill(
         self, share_seconds: float, *, limit: UsageLimit, capacity: float, extra: float = 0.0
--- a/tests/platform_adapter/test_limits.py
+++ b/tests/platform_adapter/test_limits.py
@@ -30,7 +30,7 @@
     """Let the pools of a box have had its share for so long that what may be saved up is full."""
     for group in box.shared_rates.groups:
         group.pool.lend(box.state.box, 1.0, echo=box.state.clock(), now=box.state.clock())
-        group.pool._saved_seconds = seconds
+        group.pool._unused_share_seconds = seconds
 
 
 async def one_box(made):
@@ -162,7 +162,7 @@
             await until(lambda: shares[0].pool == shares[1].pool != "")
             pool = first if shares[0].pool == "box-1" else second
             await until(lambda: len(pool.shared_rates.groups[group].pool.lenders_by_box) == 2)
-            pool.shared_rates.groups[group].pool._saved_seconds = 60.0
+            pool.shared_rates.groups[group].pool._unused_share_seconds = 60.0
             statuses = []
             for n in range(8):
                 box = (first, second)[n % 2]
