--- a/src/croftchute/systems/hall_relays.py
+++ b/src/croftchute/systems/hall_relays.py
@@ -51,15 +51,15 @@
     hall: str
     own_mbps: float = 0.0
     _skipped_until: dict[str, float] = field(default_factory=dict)
-    _lost_until: dict[str, float] = field(default_factory=dict)
-    _asked_until: float = 0.0
+    _store_lost_until: dict[str, float] = field(default_factory=dict)
+    _duty_until: float = 0.0
 
     def relay_to_ask(self, hall_peers: Sequence[Peer], now: float) -> Peer | None:
         """Return the box to ask for updates; None if this box should read the store itself.
 
         ``hall_peers`` are the other live boxes of the hall.
         """
-        if len(hall_peers) + 1 < MIN_HALL_SIZE or now < self._asked_until:
+        if len(hall_peers) + 1 < MIN_HALL_SIZE or now < self._duty_until:
             return None
         peers_by_id = {peer.id: peer for peer in hall_peers}
         order = self._order(hall_peers)
@@ -73,21 +73,21 @@
         """Do not ask a relay for ``RELAY_BACKOFF_S`` seconds, because it returned nothing."""
         self._skipped_until = _unexpired(self._skipped_until, now)
         self._skipped_until[box_id] = now + RELAY_BACKOFF_S
-        self._lost_until = _unexpired(self._lost_until, now)
+        self._store_lost_until = _unexpired(self._store_lost_until, now)
         if has_lost_store:
-            self._lost_until[box_id] = now + RELAY_BACKOFF_S
+            self._store_lost_until[box_id] = now + RELAY_BACKOFF_S
 
     def is_store_lost(self, now: float) -> bool:
         """Return whether several relays of the hall recently reported the store as unreachable."""
-        return len(_unexpired(self._lost_until, now)) >= MIN_STORE_LOST_REPORTS
+        return len(_unexpired(self._store_lost_until, now)) >= MIN_STORE_LOST_REPORTS
 
     def note_asked(self, now: float) -> None:
         """Read the store for ``RELAY_DUTY_S`` seconds, because another box asked for updates."""
-        self._asked_until = now + RELAY_DUTY_S
+        self._duty_until = now + RELAY_DUTY_S
 
     def has_relay_duty(self, now: float) -> bool:
         """Return whether another box asked for updates recently."""
-        return now < self._asked_until
+        return now < self._duty_until
 
     def _order(self, hall_peers: Sequence[Peer]) -> list[str]:
         """Return all boxes of the hall by rank, those with wide links first."""
--- a/src/croftchute/systems/peer_table.py
+++ b/src/croftchute/systems/peer_table.py
@@ -48,7 +48,7 @@
     hall: str = ""
     seeds: tuple[tuple[str, int], ...] = ()
     peers_by_id: dict[str, Peer] = field(default_factory=dict)
-    _named_by_id: dict[str, tuple[str, int]] = field(default_factory=dict)
+    _stored_address_by_id: dict[str, tuple[str, int]] = field(default_factory=dict)
     _entries_by_worker: dict[str, dict[str, WorkerNotice]] = field(default_factory=dict)
     _id_by_address: dict[tuple[str, int], str] = field(default_factory=dict)
 
@@ -91,14 +91,14 @@
 
     def note_address(self, box: str, host: str, port: int) -> None:
         """Store the notice address of a box that sent no notice yet; only one is stored."""
-        self._named_by_id = {box: (host, port)}
+        self._stored_address_by_id = {box: (host, port)}
 
     def address_of(self, box: str) -> tuple[str, int] | None:
         """Return a box's notice address, from its own notice or :meth:`note_address`, or None."""
         peer = self.peers_by_id.get(box)
         if peer is not None:
             return peer.host, peer.notice_port
-        return self._named_by_id.get(box)
+        return self._stored_address_by_id.get(box)
 
     def knows(self, address: tuple[str, int]) -> bool:
         """Return whether some peer receives notices at an address."""
