--- a/src/croftchute/systems/allowance_pool.py
+++ b/src/croftchute/systems/allowance_pool.py
@@ -1,10 +1,11 @@
 """A pool of the shares that boxes lend, which decides for all of them under a shared limit.
 
 Each of n boxes owns 1/n of every limit and lends it to a pool under a lease. A pool grants what the
-shares lent to it accrue. It considers a lease valid only by its own clock, echoed by the lender. So
-a share never counts at two pools at a time, however messages are lost, delayed, duplicated or cut
-off and however boxes pause, and all pools together grant no more than the limit. This holds as long
-as no box counts fewer boxes than there are: see ``fleet_size``.
+shares lent to it accrue. The pool decides by its own clock whether a lease is valid: the lender
+returns the pool's last time stamp with each message. So a share never counts at two pools at a
+time, even if messages are lost, delayed or duplicated, the network is cut or boxes pause, and all
+pools together grant no more than the limit. This requires that every box's count of the boxes is
+no smaller than their real number: see ``fleet_size``.
 """
 
 from __future__ import annotations
@@ -18,12 +19,13 @@
 from croftchute.tables.organisations import UsageLimit
 
 LEASE_S = 1.0
-"""Seconds for which a share is lent: three times the interval between requests, so that one may be
-lost and answers may take 0.3 s. Nothing is lent for as long after a start or after the loss of a
-pool."""
+"""Seconds for which a share is lent: three times the interval between requests, so that a lease
+survives one lost request and answers that take 0.3 s. After a start or the loss of a pool, a box
+lends nothing for the same time."""
 
 RECOUNT_INTERVAL_S = 0.02
-"""Seconds between two recounts of all leases; leases end this much earlier to allow for it."""
+"""Seconds between two recounts of all leases. Leases end this much earlier, since a recount may
+notice the end that much too late."""
 
 NO_SHARE_WAIT_S = 0.5
 """Seconds after which to retry if a pool has no shares now: half a lease and one round trip."""
@@ -55,11 +57,11 @@
     lenders_by_box: dict[str, _Lender] = field(default_factory=dict)
     buckets_by_name: dict[str, UsageBucket] = field(default_factory=dict)
     _share_seconds: float = 0.0
-    _saved_seconds: float = 0.0
-    _starts: float = 0.0
-    _saved_starts: float = 0.0
+    _unused_share_seconds: float = 0.0
+    _start_credits: float = 0.0
+    _unused_start_credits: float = 0.0
     _live_share: float = 0.0
-    _settled_at: float = 0.0
+    _recounted_at: float = 0.0
 
     def lend(
         self, box: str, share: float, *, echo: float, now: float, is_first: bool = False
@@ -72,7 +74,7 @@
         self._recount(now)
         lender = self.lenders_by_box.get(box)
         if lender is not None:
-            self._count(lender, now)
+            self._count_accrual(lender, now)
         if share <= 0.0 or not now - LEASE_S < echo <= now:
             return
         expires_at = echo + LEASE_S - RECOUNT_INTERVAL_S
@@ -80,8 +82,8 @@
             lender = _Lender(share=share, counted_to=now, expires_at=expires_at)
             self.lenders_by_box[box] = lender
             if is_first:
-                self._starts += share
-                self._saved_starts += share
+                self._start_credits += share
+                self._unused_start_credits += share
         lender.share = share
         lender.expires_at = max(lender.expires_at, expires_at)
         self._live_share = self.live_share(now)
@@ -113,7 +115,7 @@
             bucket.level += returned.units
 
     def sweep(self, known: Mapping[str, HasLimit], now: float) -> None:
-        """Forget lenders whose lease ended long ago, and buckets as full as unused ones."""
+        """Delete lenders whose lease ended long ago, and buckets as full as newly created ones."""
         self._recount(now)
         for box, lender in list(self.lenders_by_box.items()):
             if now - lender.expires_at > LEASE_S:
@@ -121,71 +123,71 @@
         for name, bucket in list(self.buckets_by_name.items()):
             limited = known.get(name)
             limit = limited.limit if limited is not None else None
-            if limit is None or self._is_as_unused(bucket, limit):
+            if limit is None or self._is_full_as_new(bucket, limit):
                 del self.buckets_by_name[name]
 
-    def _is_as_unused(self, bucket: UsageBucket, limit: UsageLimit) -> bool:
+    def _is_full_as_new(self, bucket: UsageBucket, limit: UsageLimit) -> bool:
         capacity = self.terms.capacity(limit) * min(1.0, self._live_share)
         self._fill(bucket, limit, capacity)
-        return bucket.level >= self._saved_up(limit, capacity) > 0.0
+        return bucket.level >= self._unused_level(limit, capacity) > 0.0
 
     def _bucket(self, name: str, limit: UsageLimit, capacity: float) -> UsageBucket:
         """Return the bucket of a limit, created with what has accrued since the pool started."""
         bucket = self.buckets_by_name.get(name)
         if bucket is None:
             bucket = UsageBucket(
-                level=self._saved_up(limit, capacity),
+                level=self._unused_level(limit, capacity),
                 filled_to=self._share_seconds,
-                starts=self._starts,
+                start_credits=self._start_credits,
             )
             self.buckets_by_name[name] = bucket
         self._fill(bucket, limit, capacity)
         return bucket
 
-    def _saved_up(self, limit: UsageLimit, capacity: float) -> float:
-        """Return what an unused limit has accrued since the pool started."""
-        started = self.terms.start_credit(limit) * self._saved_starts
-        return min(capacity, limit.rate_per_s * self._saved_seconds + started)
+    def _unused_level(self, limit: UsageLimit, capacity: float) -> float:
+        """Return the level that a bucket has if its limit was not used since the pool started."""
+        started = self.terms.start_credit(limit) * self._unused_start_credits
+        return min(capacity, limit.rate_per_s * self._unused_share_seconds + started)
 
     def _fill(self, bucket: UsageBucket, limit: UsageLimit, capacity: float) -> None:
         """Add what the lent shares have accrued since the last fill."""
-        extra = self.terms.start_credit(limit) * (self._starts - bucket.starts)
-        bucket.starts = self._starts
+        extra = self.terms.start_credit(limit) * (self._start_credits - bucket.start_credits)
+        bucket.start_credits = self._start_credits
         bucket.fill(self._share_seconds, limit=limit, capacity=capacity, extra=extra)
 
     def _wait_s(self, missing: float, limit: UsageLimit) -> float:
         """Return the seconds until the missing units have accrued."""
-        pace = limit.rate_per_s * min(1.0, self._live_share)
-        return NO_SHARE_WAIT_S if pace <= 0.0 else max(0.0, missing) / pace
+        rate_per_s = limit.rate_per_s * min(1.0, self._live_share)
+        return NO_SHARE_WAIT_S if rate_per_s <= 0.0 else max(0.0, missing) / rate_per_s
 
-    def _count(self, lender: _Lender, now: float) -> None:
+    def _count_accrual(self, lender: _Lender, now: float) -> None:
         """Count what a share accrued while its lease was valid."""
         until = min(now, lender.expires_at)
-        # Boxes that know few others each lend too much; scaled, they still lend one limit.
+        # Boxes that know few others lend shares that sum to more than 1: scale them down to 1.
         share = lender.share / max(1.0, self._live_share)
         seconds = share * max(0.0, until - lender.counted_to)
         lender.counted_to = max(lender.counted_to, now)
         self._share_seconds += seconds
-        self._saved_seconds += seconds
+        self._unused_share_seconds += seconds
 
     def _recount(self, now: float) -> None:
-        """Count all leases and drop what was accrued by shares that are no longer lent here."""
-        if now - self._settled_at < RECOUNT_INTERVAL_S:
+        """Count all leases and remove what shares accrued that are no longer lent to this pool."""
+        if now - self._recounted_at < RECOUNT_INTERVAL_S:
             return
-        self._settled_at = now
+        self._recounted_at = now
         for lender in self.lenders_by_box.values():
-            self._count(lender, now)
+            self._count_accrual(lender, now)
         live = self.live_share(now)
         if live < self._live_share:
             kept = live / self._live_share
-            self._saved_seconds *= kept
-            self._saved_starts *= kept
+            self._unused_share_seconds *= kept
+            self._unused_start_credits *= kept
             for bucket in self.buckets_by_name.values():
                 bucket.level = min(bucket.level, bucket.level * kept)
         self._live_share = live
 
 
 def _limit_of(want: UsageWant, known: Mapping[str, HasLimit]) -> UsageLimit | None:
-    """Return the limit as this box knows it, or else as the request states it."""
+    """Return the limit that this box knows, or the one in the request if it knows none."""
     limited = known.get(want.name)
     return want.limit if limited is None else limited.limit
--- a/src/croftchute/systems/retry_budget.py
+++ b/src/croftchute/systems/retry_budget.py
@@ -1,4 +1,4 @@
-"""One box's share of a retry budget that all boxes have together for a service."""
+"""One box's share of the retry budget of a service, which all boxes share."""
 
 from __future__ import annotations
 
@@ -6,7 +6,8 @@
 from dataclasses import dataclass, field
 
 SAFETY_FACTOR = 0.7
-"""Share of the budget that is used, because boxes learn late of each other and windows slide."""
+"""Share of the budget that is used. The rest covers boxes that have not discovered each other yet,
+and requests that leave the sliding window before their retries."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
@@ -24,7 +25,7 @@
 
     limits: RetryLimits
     request_times: deque[float] = field(default_factory=deque)
-    repeat_times: deque[float] = field(default_factory=deque)
+    retry_times: deque[float] = field(default_factory=deque)
 
     def allowed(self, now: float, *, boxes: int) -> float:
         """Return how many retries this box may send in the window that ends now."""
@@ -40,13 +41,13 @@
     def spend(self, now: float, *, boxes: int) -> bool:
         """Take one retry from the budget; return False if none is left."""
         allowed = self.allowed(now, boxes=boxes)
-        if len(self.repeat_times) + 1 > allowed:
+        if len(self.retry_times) + 1 > allowed:
             return False
-        self.repeat_times.append(now)
+        self.retry_times.append(now)
         return True
 
     def _expire(self, now: float) -> None:
         start = now - self.limits.window_s
-        for times in (self.request_times, self.repeat_times):
+        for times in (self.request_times, self.retry_times):
             while times and times[0] <= start:
                 times.popleft()
