--- a/src/croftchute/forwarding/workers/chunk_reader.py
+++ b/src/croftchute/forwarding/workers/chunk_reader.py
@@ -58,7 +58,7 @@
         if self._last_chunk_at is None:
             return min(self.first_chunk_timeout_s, run.time_left_s)
         return timeouts.gap_timeout_s(
-            run.route, time_left_s=run.time_left_s, usual_gap_s=self.call.tracked.pause_s
+            run.route, time_left_s=run.time_left_s, usual_gap_s=self.call.tracked.chunk_gap_s
         )
 
     def _record_chunk(self) -> None:
--- a/src/croftchute/forwarding/workers/completion_time_selector.py
+++ b/src/croftchute/forwarding/workers/completion_time_selector.py
@@ -204,7 +204,7 @@
 
 def _usual_times(state: ForwardingState, service: str, now: float) -> UsualTimes:
     tracked_workers = state.workers.of_service(service)
-    gaps = sorted(tracked.pause_s for tracked in tracked_workers if tracked.pause_s > 0.0)
+    gaps = sorted(tracked.chunk_gap_s for tracked in tracked_workers if tracked.chunk_gap_s > 0.0)
     counts = state.fleet_demand(service)
     timing = state.prefill_pace(service)
     mean_tokens = counts.prompt_tokens / counts.asks if counts.asks else 0.0
--- a/src/croftchute/forwarding/workers/worker_signals.py
+++ b/src/croftchute/forwarding/workers/worker_signals.py
@@ -27,10 +27,10 @@
     if wish.is_leaving and advice.note_leaving(worker.id, now):
         state.metrics.wishes.inc({"wish": "leaving", "call": call})
         _log(state, Decision.WORKER_LEAVING, worker, head, call)
-    if wish.rest_s > 0.0:
-        advice.note_backoff(worker.id, wish.rest_s, now)
+    if wish.backoff_s > 0.0:
+        advice.note_backoff(worker.id, wish.backoff_s, now)
         state.metrics.wishes.inc({"wish": "rest", "call": call})
-        _log(state, Decision.WORKER_RESTS, worker, head, call, rest_s=round(wish.rest_s, 3))
+        _log(state, Decision.WORKER_RESTS, worker, head, call, rest_s=round(wish.backoff_s, 3))
     _note_limit(state, worker, head, wish, call=call)
 
 
@@ -42,7 +42,7 @@
     limits = state.workers.limits
     if wish.limit_per_s is None:
         is_its_own = state.workers_speak.verdict(head) is not Verdict.WRONG_WORKER
-        if limits.by_id and is_its_own and not wish.has_odd_limit:
+        if limits.by_id and is_its_own and not wish.has_invalid_limit:
             limits.note_no_limit(worker.id, now)
     elif limits.note_limit(worker.id, wish.limit_per_s, now):
         state.metrics.wishes.inc({"wish": "limit", "call": call})
--- a/src/croftchute/systems/crash_records.py
+++ b/src/croftchute/systems/crash_records.py
@@ -59,7 +59,7 @@
     succeeded_at: float = -math.inf
 
     @property
-    def lives(self) -> set[str]:
+    def counted_instances(self) -> set[str]:
         """The instances that count against the request before explanations are considered."""
         ended = {
             instance for instance, at in self.ended_at_by_life.items() if at > self.succeeded_at
@@ -86,15 +86,15 @@
         return True
 
 
-def refusal_duration_s(lives: int) -> float:
+def refusal_duration_s(crashes: int) -> float:
     """Return for how many seconds after the latest crash a request is refused.
 
-    >>> [refusal_duration_s(lives) for lives in (2, 3, 4, 9)]
+    >>> [refusal_duration_s(crashes) for crashes in (2, 3, 4, 9)]
     [0.0, 600.0, 1200.0, 3600.0]
     """
-    if lives < CRASHES_TO_REFUSE:
+    if crashes < CRASHES_TO_REFUSE:
         return 0.0
-    return min(MAX_REFUSAL_S, BASE_REFUSAL_S * 2.0 ** (lives - CRASHES_TO_REFUSE))
+    return min(MAX_REFUSAL_S, BASE_REFUSAL_S * 2.0 ** (crashes - CRASHES_TO_REFUSE))
 
 
 @dataclass(kw_only=True)
@@ -103,7 +103,7 @@
 
     by_digest: dict[str, CrashRecord] = field(default_factory=dict)
     _refused_until_by_digest: dict[str, float] = field(default_factory=dict)
-    _candidates: set[str] = field(default_factory=set)
+    _refusal_candidates: set[str] = field(default_factory=set)
     _next_record: int = 0
     _call_count: int = 0
 
@@ -147,7 +147,7 @@
         for digest in digests:
             record = self.by_digest[digest]
             record.suspected.discard(instance)
-            if not record.lives and record.succeeded_at == -math.inf:
+            if not record.counted_instances and record.succeeded_at == -math.inf:
                 del self.by_digest[digest]
         self._update_refusals_if_needed(digests)
 
@@ -245,7 +245,7 @@
 
     def _evict_oldest(self, at: float) -> bool:
         """Drop the oldest record that causes no refusal, if it is older than the new one."""
-        idle = [key for key in self.by_digest if key not in self._candidates]
+        idle = [key for key in self.by_digest if key not in self._refusal_candidates]
         if not idle:
             return False
         oldest = min(idle, key=lambda key: self.by_digest[key].latest_at)
@@ -262,12 +262,12 @@
         is_due = False
         for digest in digests:
             record = self.by_digest.get(digest)
-            was_heavy = digest in self._candidates
-            if record is not None and len(record.lives) >= CRASHES_TO_REFUSE:
-                self._candidates.add(digest)
+            was_candidate = digest in self._refusal_candidates
+            if record is not None and len(record.counted_instances) >= CRASHES_TO_REFUSE:
+                self._refusal_candidates.add(digest)
                 is_due = True
-            elif was_heavy:
-                self._candidates.remove(digest)
+            elif was_candidate:
+                self._refusal_candidates.remove(digest)
                 is_due = True
         if is_due:
             self._update_refusals()
@@ -278,27 +278,29 @@
         Crashes of a request explain those of requests with fewer. Requests with equally many are
         judged together, since each of them may be the cause.
         """
-        lives_by_digest = {digest: self.by_digest[digest].lives for digest in self._candidates}
-        heavy = sorted(lives_by_digest, key=lambda key: -len(lives_by_digest[key]))
+        instances_by_digest = {
+            digest: self.by_digest[digest].counted_instances for digest in self._refusal_candidates
+        }
+        by_crash_count = sorted(instances_by_digest, key=lambda key: -len(instances_by_digest[key]))
         refused: dict[str, float] = {}
         explained: set[str] = set()
-        for _, group in groupby(heavy, key=lambda key: len(lives_by_digest[key])):
-            found = [key for key in group if _is_refused(lives_by_digest[key], explained)]
+        for _, group in groupby(by_crash_count, key=lambda key: len(instances_by_digest[key])):
+            found = [key for key in group if _is_refused(instances_by_digest[key], explained)]
             for digest in found:
                 record = self.by_digest[digest]
                 refused[digest] = record.latest_at + refusal_duration_s(
-                    len(lives_by_digest[digest])
+                    len(instances_by_digest[digest])
                 )
-            explained = explained.union(*(lives_by_digest[digest] for digest in found))
+            explained = explained.union(*(instances_by_digest[digest] for digest in found))
         self._refused_until_by_digest = refused
 
 
-def _is_refused(lives: set[str], explained: set[str]) -> bool:
+def _is_refused(instances: set[str], explained: set[str]) -> bool:
     """Return whether a request is refused, given the crashes that other records explain.
 
     More than three crashes are enough if at least one is unexplained. When several crashing
     requests run side by side, each may be present at the others' crashes; without this rule one of
     them would crash three more workers.
     """
-    left = len(lives - explained)
-    return left >= CRASHES_TO_REFUSE or (left > 0 and len(lives) > CRASHES_TO_REFUSE)
+    left = len(instances - explained)
+    return left >= CRASHES_TO_REFUSE or (left > 0 and len(instances) > CRASHES_TO_REFUSE)
--- a/src/croftchute/systems/tracked_worker.py
+++ b/src/croftchute/systems/tracked_worker.py
@@ -44,7 +44,7 @@
     failures: float = 0.0
     failed_at: float = 0.0
     latency_s: float = 0.0
-    pause_s: float = 0.0
+    chunk_gap_s: float = 0.0
     rejected_at: float = -1e9
     load_running: int = 0
     load_waiting: int = 0
--- a/src/croftchute/systems/worker_advice.py
+++ b/src/croftchute/systems/worker_advice.py
@@ -26,16 +26,16 @@
 class WorkerAdvice:
     """What one answer announces about its worker.
 
-    ``is_leaving``: the worker takes no new work until it ends. ``rest_s``: the worker wants no
+    ``is_leaving``: the worker takes no new work until it ends. ``backoff_s``: the worker wants no
     request from this box for that many seconds; 0 if it names none. ``limit_per_s``: the requests
     per second that the worker accepts from all boxes together; None if it names no valid limit.
-    ``has_odd_limit``: it named a limit that can't be parsed.
+    ``has_invalid_limit``: it named a limit that can't be parsed.
     """
 
     is_leaving: bool = False
-    rest_s: float = 0.0
+    backoff_s: float = 0.0
     limit_per_s: float | None = None
-    has_odd_limit: bool = False
+    has_invalid_limit: bool = False
 
 
 NO_ADVICE = WorkerAdvice()
@@ -80,7 +80,7 @@
         self.leaving_by_id[worker_id] = _Leaving(since=now - known_for_s, heard_at=now)
         return True
 
-    def note_backoff(self, worker_id: str, rest_s: float, now: float) -> None:
+    def note_backoff(self, worker_id: str, backoff_s: float, now: float) -> None:
         """Record that a worker wants no requests for a while.
 
         If a backoff is already running, the later end counts, and requests sent during it still
@@ -88,10 +88,10 @@
         """
         backoff = self._backoffs_by_id.get(worker_id)
         if backoff is None or backoff.until <= now:
-            self._backoffs_by_id[worker_id] = _Backoff(until=now + rest_s)
+            self._backoffs_by_id[worker_id] = _Backoff(until=now + backoff_s)
             self._drop_expired_backoffs(now)
             return
-        backoff.until = max(backoff.until, now + rest_s)
+        backoff.until = max(backoff.until, now + backoff_s)
 
     def note_sent(self, worker_id: str, now: float) -> None:
         """Count a request sent to a worker, if the worker is in backoff."""
--- a/src/croftchute/systems/worker_choice.py
+++ b/src/croftchute/systems/worker_choice.py
@@ -95,11 +95,11 @@
 def cost_of(tracked: TrackedWorker, context: ChoiceContext, now: float) -> float:
     """Return the cost of one more request at a worker, in units of a fully loaded worker."""
     worker = tracked.worker
-    elsewhere = other_boxes_load(tracked, context, now)
-    cost = (tracked.in_flight + elsewhere) / max(1, worker.slots)
+    others_load = other_boxes_load(tracked, context, now)
+    cost = (tracked.in_flight + others_load) / max(1, worker.slots)
     if context.kv_tokens > 0:
         cost += tracked.tokens_in_flight / context.kv_tokens
-        cost += elsewhere * TYPICAL_DECODE_TOKENS / context.kv_tokens
+        cost += others_load * TYPICAL_DECODE_TOKENS / context.kv_tokens
     cost += FAILURE_COST * tracked.failure_score(now)
     cost += PEER_FAILURE_COST * min(MAX_PEER_FAILURES, context.peers.failures(worker.id, now))
     zone, typical_s = context.zone, context.typical_s
--- a/src/croftchute/systems/worker_limits.py
+++ b/src/croftchute/systems/worker_limits.py
@@ -75,13 +75,13 @@
         is_echo = known_for_s > 0.0 and per_s == known.per_s
         if reported_at <= known.reported_at + (ECHO_TOLERANCE_S if is_echo else 0.0):
             return False
-        is_news = per_s != known.per_s or known.is_over(now)
+        is_new = per_s != known.per_s or known.is_over(now)
         known.per_s = per_s
         known.reported_at = reported_at
         if known.omitted_at <= reported_at:
             known.omitted_at = math.inf
             known.is_end_reported = False
-        return is_news
+        return is_new
 
     def note_no_limit(self, worker_id: str, now: float, *, known_for_s: float = 0.0) -> None:
         """Record an answer without a limit, if the worker had reported one before."""
@@ -130,22 +130,24 @@
 
         Of an ended limit only the end is taken over.
         """
-        was_left_out = notice.left_out_s >= 0.0
-        is_over = was_left_out and notice.named_s >= LIMIT_END_DELAY_S
-        is_news = False
+        was_omitted = notice.left_out_s >= 0.0
+        is_over = was_omitted and notice.named_s >= LIMIT_END_DELAY_S
+        is_new = False
         if not is_over or notice.worker in self.by_id:
             named_s = max(0.0, notice.named_s)
-            is_news = self.note_limit(notice.worker, notice.per_s, now, known_for_s=named_s)
-        if was_left_out:
+            is_new = self.note_limit(notice.worker, notice.per_s, now, known_for_s=named_s)
+        if was_omitted:
             self.note_no_limit(notice.worker, now, known_for_s=notice.left_out_s)
-        return is_news and not is_over
+        return is_new and not is_over
 
     def sweep(self, now: float, *, listed: Container[str]) -> list[str]:
         """Forget limits that ended long ago; return the workers whose limits have just ended."""
         for worker_id, known in list(self.by_id.items()):
-            silent_s = now - known.reported_at
-            is_gone = worker_id not in listed and silent_s > UNLISTED_TTL_S
-            is_long_over = known.is_over(now) and silent_s > LIMIT_END_DELAY_S + ENDED_LIMIT_TTL_S
+            report_age_s = now - known.reported_at
+            is_gone = worker_id not in listed and report_age_s > UNLISTED_TTL_S
+            is_long_over = (
+                known.is_over(now) and report_age_s > LIMIT_END_DELAY_S + ENDED_LIMIT_TTL_S
+            )
             if is_gone or is_long_over:
                 del self.by_id[worker_id]
         ended = [w for w, known in self.by_id.items() if known.is_over(now)]
--- a/src/croftchute/systems/worker_table.py
+++ b/src/croftchute/systems/worker_table.py
@@ -98,7 +98,7 @@
             # The list doesn't say since when: work sent as a last resort could come too late.
             self.advice.note_leaving(worker.id, now, known_for_s=math.inf)
         if current is not None and current.worker.id != worker.id:
-            self._end_life(current, now)
+            self._mark_restarted(current, now)
         tracked = self.tracked_by_id.get(worker.id)
         if tracked is None:
             self._add(TrackedWorker(worker=worker, listed_at=now, item=item))
@@ -222,8 +222,13 @@
         by_availability = self._by_availability(service, now, stage)
         if by_availability.listed or by_availability.last_resorts:
             return 0.0
-        waits = [self.advice.backoff_left_s(b.worker.id, now) for b in by_availability.in_backoff]
-        waits += [self.limits.blocked_s(b.worker.id, now) for b in by_availability.at_limit]
+        waits = [
+            self.advice.backoff_left_s(tracked.worker.id, now)
+            for tracked in by_availability.in_backoff
+        ]
+        waits += [
+            self.limits.blocked_s(tracked.worker.id, now) for tracked in by_availability.at_limit
+        ]
         return min(waits, default=0.0)
 
     def _by_availability(
@@ -258,7 +263,7 @@
         self._tracked_by_service.setdefault(worker.service, {})[worker.id] = tracked
         self._current_by_name[worker.list_name] = tracked
 
-    def _end_life(self, tracked: TrackedWorker, now: float) -> None:
+    def _mark_restarted(self, tracked: TrackedWorker, now: float) -> None:
         """Mark an instance as ended because its worker has restarted."""
         if tracked.gone_at is None:
             tracked.gone_at = now
@@ -266,7 +271,9 @@
         self._ended.append(tracked.worker)
 
     def _is_mass_expiry(self, service: str, gone: int) -> bool:
-        listed = sum(b.gone_at is None for b in self._tracked_by_service[service].values())
+        listed = sum(
+            tracked.gone_at is None for tracked in self._tracked_by_service[service].values()
+        )
         return gone >= MIN_MASS_EXPIRY and gone >= MASS_EXPIRY_RATIO * listed
 
     def of_service(self, service: str) -> list[TrackedWorker]:
@@ -298,14 +305,14 @@
             tracked.latency_s = latency_s
         tracked.latency_s += LATENCY_EWMA_WEIGHT * (latency_s - tracked.latency_s)
 
-    def note_chunk_gap(self, worker_id: str, pause_s: float) -> None:
+    def note_chunk_gap(self, worker_id: str, gap_s: float) -> None:
         """Record the time between two chunks of a stream."""
         tracked = self.tracked_by_id.get(worker_id)
         if tracked is None:
             return
-        if tracked.pause_s == 0.0:
-            tracked.pause_s = pause_s
-        tracked.pause_s += GAP_EWMA_WEIGHT * (pause_s - tracked.pause_s)
+        if tracked.chunk_gap_s == 0.0:
+            tracked.chunk_gap_s = gap_s
+        tracked.chunk_gap_s += GAP_EWMA_WEIGHT * (gap_s - tracked.chunk_gap_s)
 
     def note_rejected(self, worker_id: str, now: float) -> None:
         """Record that a worker rejected a request without running it: it is full or leaving."""
--- a/src/croftchute/tables/crashes.py
+++ b/src/croftchute/tables/crashes.py
@@ -15,11 +15,11 @@
     ``caller`` is the calling organisation. Network addresses are left out, because one caller's
     requests come from several halls.
     """
-    found = hashlib.blake2b(digest_size=DIGEST_BYTES, person=b"croftchute-req")
+    digest = hashlib.blake2b(digest_size=DIGEST_BYTES, person=b"croftchute-req")
     for text in (caller, method, host, target):
-        found.update(text.encode() + b"\n")
-    found.update(body)
-    return found.hexdigest()
+        digest.update(text.encode() + b"\n")
+    digest.update(body)
+    return digest.hexdigest()
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
--- a/tests/platform_adapter/test_wishes.py
+++ b/tests/platform_adapter/test_wishes.py
@@ -54,8 +54,8 @@
     ],
 )
 def test_a_refusal_asks_for_rest(value, rest_s):
-    assert read_wish(head(503, SENT, *retry_after(value))).rest_s == rest_s
-    assert read_wish(head(429, SENT, *retry_after(value))).rest_s == rest_s
+    assert read_wish(head(503, SENT, *retry_after(value))).backoff_s == rest_s
+    assert read_wish(head(429, SENT, *retry_after(value))).backoff_s == rest_s
 
 
 def test_a_date_without_the_answers_own_date_says_nothing():
@@ -63,7 +63,7 @@
 
 
 def test_of_two_times_the_longer_one_counts():
-    assert read_wish(head(503, *retry_after(b"1", b"4", b"x"))).rest_s == 4.0
+    assert read_wish(head(503, *retry_after(b"1", b"4", b"x"))).backoff_s == 4.0
 
 
 @pytest.mark.parametrize("status", [200, 302, 500, 502])
@@ -86,7 +86,7 @@
     answer = head(status, (b"server-leaving", leaving), (b"date", date), *retry_after(rest))
     wish = read_wish(answer)
     assert isinstance(wish, WorkerAdvice)
-    assert 0.0 <= wish.rest_s <= MAX_REST_S
+    assert 0.0 <= wish.backoff_s <= MAX_REST_S
 
 
 def limits(*values):
@@ -109,13 +109,13 @@
 @pytest.mark.parametrize("status", [200, 404, 500, 503])
 def test_every_answer_may_name_a_limit_and_of_two_the_lower_holds(status, values, per_s):
     wish = read_wish(head(status, *limits(*values)))
-    assert (wish.limit_per_s, wish.has_odd_limit) == (per_s, False)
+    assert (wish.limit_per_s, wish.has_invalid_limit) == (per_s, False)
 
 
 @pytest.mark.parametrize("value", [b"", b"-1", b"nan", b"inf", b"1e9", b"two", b"\xb2", b"9" * 400])
 def test_a_limit_that_can_not_be_read_is_none_and_does_not_count_as_left_out(value):
     wish = read_wish(head(200, *limits(value)))
-    assert (wish.limit_per_s, wish.has_odd_limit) == (None, True)
+    assert (wish.limit_per_s, wish.has_invalid_limit) == (None, True)
 
 
 def test_another_worker_at_the_address_names_no_limit_for_the_one_that_was_asked():
--- a/tests/systems/crash_simulation.py
+++ b/tests/systems/crash_simulation.py
@@ -25,7 +25,7 @@
 
 RESTART_DELAY_S = 4.0
 ATTEMPTS = 2
-CONTACT_S = 3.0
+NOTICE_DEADLINE_S = 3.0
 STREAM_S = 3.0
 
 
@@ -51,8 +51,8 @@
     def __init__(self, *, boxes, workers, halls=3, seed=1, healthy_per_s=0.0):
         self.rng = random.Random(seed)
         self.boxes = [SimulatedBox(name=n, hall=n % halls) for n in range(boxes)]
-        self.lives = {n: f"w{n}-0" for n in range(workers)}
-        self.alive = list(self.lives)
+        self.instances = {n: f"w{n}-0" for n in range(workers)}
+        self.alive = list(self.instances)
         self.running = {n: {} for n in range(workers)}
         self.now = 0.0
         self.cut_halls = set()
@@ -128,13 +128,13 @@
         if not self.alive:
             return
         worker = self.rng.choice(self.alive)
-        in_touch = self.now - box.joined_at > CONTACT_S
-        self.arrivals.setdefault(digest, []).append((self.now, in_touch))
+        is_connected = self.now - box.joined_at > NOTICE_DEADLINE_S
+        self.arrivals.setdefault(digest, []).append((self.now, is_connected))
         self.running[worker][digest] = (box, None)
-        self.at(TIME_TO_CRASH_S, self._end, worker, self.lives[worker], digest, box, left - 1)
+        self.at(TIME_TO_CRASH_S, self._end, worker, self.instances[worker], digest, box, left - 1)
 
-    def _end(self, worker, life, digest, box, left):
-        if self.lives[worker] == life and worker in self.alive:
+    def _end(self, worker, instance, digest, box, left):
+        if self.instances[worker] == instance and worker in self.alive:
             self.ended_at.setdefault(digest, []).append(self.now)
             self.crash(worker)
         if left:
@@ -143,21 +143,21 @@
     def crash(self, worker):
         """Crash a worker and break off all its requests; each box then finds its port closed."""
         self.alive.remove(worker)
-        life, runs = self.lives[worker], self.running[worker]
+        instance, runs = self.instances[worker], self.running[worker]
         self.running[worker] = {}
         for digest, (box, healthy) in runs.items():
-            box.records.note_suspected_crash(digest, life, self.now)
-            self.at(DELAY_S, self._settle, box, life, digest)
+            box.records.note_suspected_crash(digest, instance, self.now)
+            self.at(DELAY_S, self._resolve_suspicion, box, instance, digest)
             if healthy is not None:
                 self.at(2 * DELAY_S, self._retry, healthy)
         self.at(RESTART_DELAY_S, self._start, worker)
 
-    def _settle(self, box, life, digest):
-        for digest_to_send in box.records.resolve_suspicion(life, ended_at=self.now):
+    def _resolve_suspicion(self, box, instance, digest):
+        for digest_to_send in box.records.resolve_suspicion(instance, ended_at=self.now):
             self.send_notices(box, box.records.notices(digest_to_send, self.now))
 
     def _start(self, worker):
-        self.lives[worker] = f"w{worker}-{next(self._numbers)}"
+        self.instances[worker] = f"w{worker}-{next(self._numbers)}"
         self.alive.append(worker)
 
     # HealthyRequest requests.
@@ -204,5 +204,5 @@
         ended = sorted(self.ended_at.get(digest, []))
         if len(ended) < 3:
             return 0
-        known_at = ended[2] + CONTACT_S
-        return sum(at > known_at and in_touch for at, in_touch in self.arrivals[digest])
+        known_at = ended[2] + NOTICE_DEADLINE_S
+        return sum(at > known_at and is_connected for at, is_connected in self.arrivals[digest])
--- a/tests/systems/test_crash_at_size.py
+++ b/tests/systems/test_crash_at_size.py
@@ -75,15 +75,15 @@
 def schedule_crashes(simulation, share, gap_s):
     """Crash a share of the workers every ``gap_s`` seconds, regardless of requests."""
 
-    def strike():
-        count = max(1, int(share * len(simulation.lives)))
+    def crash_share():
+        count = max(1, int(share * len(simulation.instances)))
         for worker in simulation.rng.sample(
             list(simulation.alive), min(count, len(simulation.alive))
         ):
             simulation.crash(worker)
-        simulation.at(gap_s, strike)
+        simulation.at(gap_s, crash_share)
 
-    simulation.at(5.0, strike)
+    simulation.at(5.0, crash_share)
 
 
 @pytest.mark.parametrize(
--- a/tests/systems/test_crash_records.py
+++ b/tests/systems/test_crash_records.py
@@ -119,11 +119,11 @@
     boxes[0].note_success("poll", 5.0)
     now = 5.0
     for _ in range(50):
-        for teller in boxes:
+        for sender in boxes:
             now += 0.05
-            sent_digests = teller.notices("poll", now - 0.05)
-            for hearer in boxes:
-                hearer.merge(sent_digests, now)
+            sent_digests = sender.notices("poll", now - 0.05)
+            for receiver in boxes:
+                receiver.merge(sent_digests, now)
     assert max(records.by_digest["poll"].succeeded_at for records in boxes) <= 7.0
 
 
--- a/tests/systems/test_worker_table.py
+++ b/tests/systems/test_worker_table.py
@@ -213,7 +213,7 @@
     table.upsert(worker("a"), 0.0)
     table.note_chunk_gap("unknown", 1.0)
     table.note_chunk_gap("a", 0.1)
-    assert table.tracked_by_id["a"].pause_s == pytest.approx(0.1)
+    assert table.tracked_by_id["a"].chunk_gap_s == pytest.approx(0.1)
     for _ in range(40):
         table.note_chunk_gap("a", 0.8)
-    assert table.tracked_by_id["a"].pause_s == pytest.approx(0.8, rel=0.05)
+    assert table.tracked_by_id["a"].chunk_gap_s == pytest.approx(0.8, rel=0.05)
