--- a/src/croftchute/systems/crash_guard.py
+++ b/src/croftchute/systems/crash_guard.py
@@ -1,4 +1,4 @@
-"""Stops requests that crash engines from being retried without end; used by a box's entry.
+"""Stops requests that crash engines from being retried without end, at the box that receives them.
 
 Engines have configured ids and don't report restarts, so a crash of the same engine some seconds
 later counts as another instance.
--- a/src/croftchute/systems/crash_records.py
+++ b/src/croftchute/systems/crash_records.py
@@ -1,9 +1,9 @@
-"""Track which requests crash the workers that run them, from what this box and others saw.
+"""Track which requests crash the workers that run them, from reports of this box and others.
 
-A crash breaks off every request on the worker, and a single crash doesn't show which of them caused
-it. The request that did is present again at the next crash, so a request is refused once three
-workers have crashed under it. Bystanders are told apart by explanation: crashes on the record of a
-request with more crashes don't count against a request with fewer.
+A crash aborts every request on the worker, and a single crash doesn't show which of them caused it.
+The one that did causes the next crash too when it is retried, so a request is refused once three
+workers have crashed under it. To spare requests that merely ran on the same workers (bystanders),
+crashes that a refused request with more crashes explains don't count against one with fewer.
 
 Records are bounded and no I/O is done here. Times are seconds of the box's monotonic clock.
 """
@@ -32,7 +32,7 @@
 """Longest refusal after a crash, in seconds."""
 
 RECORD_TTL_S = 600.0
-"""Seconds for which records are kept that cause no refusal, or no longer do."""
+"""Seconds for which a record is kept after its latest crash, or after its refusal has ended."""
 
 MAX_RECORDS = 1024
 """Most requests with a record, about 0.6 KB each. A record is only created by a worker's crash."""
@@ -50,8 +50,8 @@
 class CrashRecord:
     """The crashes of workers under one request, and the request's latest success.
 
-    ``suspected`` are instances that broke off the request's answer and of which it is not yet known
-    whether they crashed.
+    ``suspected`` are instances that broke off the request's answer and may have crashed, which is
+    not yet confirmed.
     """
 
     ended_at_by_life: dict[str, float] = field(default_factory=dict)
@@ -234,7 +234,7 @@
         return record is not None and record.note_crash(notice.life, at)
 
     def _record(self, digest: str, at: float) -> CrashRecord | None:
-        """Return a request's record, creating it if there is room or an old one gives way."""
+        """Return a request's record, created if needed; None if no old record can be evicted."""
         record = self.by_digest.get(digest)
         if record is not None:
             return record
@@ -257,6 +257,7 @@
     def _update_refusals_if_needed(self, digests: Iterable[str]) -> None:
         """Recompute the refusals if a changed request is a candidate or was one.
 
+        Candidates are the requests with enough crashes to be refused if none of them is explained.
         A crash changes as many records as the worker ran requests; few of them are candidates.
         """
         is_due = False
--- a/src/croftchute/systems/tracked_worker.py
+++ b/src/croftchute/systems/tracked_worker.py
@@ -1,6 +1,6 @@
 """The state that a router tracks for one instance of a worker.
 
-Methods do no I/O and take the present time as an argument. Times are seconds of a monotonic clock.
+Methods do no I/O and take the current time as an argument. Times are seconds of a monotonic clock.
 """
 
 from __future__ import annotations
@@ -23,12 +23,12 @@
 serves as a last resort. Such a worker accepts requests for at least 2 s."""
 
 LOAD_TTL_S = 0.3
-"""Seconds for which a reported load counts; by then most of the requests it counted have ended."""
+"""Seconds for which a reported load is used; most of the reported requests have ended by then."""
 
 
 @dataclass(kw_only=True, slots=True)
 class TrackedWorker:
-    """One instance of a worker with its tracked state and the time of each observation.
+    """One instance of a worker: its list entry, this box's requests there and its failures.
 
     ``has_ended``: the worker has restarted as another instance. ``is_unreadable``: the newest entry
     of the worker can't be parsed; requests that run there continue.
@@ -75,7 +75,7 @@
         return now - min(self.sent_at_by_call.values(), default=now)
 
     def can_serve(self, stage: Stage | None, now: float) -> bool:
-        """Return whether the worker serves a stage now, by its list entry and stage changes."""
+        """Return whether the worker is valid and serves the stage, or any if ``stage`` is None."""
         if self.displaced or self.has_ended or self.is_unreadable or now < self.changing_until:
             return False
         return stage is None or self.worker.stage is None or self.worker.stage is stage
--- a/src/croftchute/systems/unknown_attempts.py
+++ b/src/croftchute/systems/unknown_attempts.py
@@ -1,4 +1,4 @@
-"""Find work that runs on an engine without a reservation known to the engine's owner."""
+"""Find attempts that an engine reports as running but that the engine's owner doesn't know."""
 
 from __future__ import annotations
 
@@ -7,14 +7,15 @@
 from croftchute.tables.upstreams import EngineReport
 
 UNKNOWN_GRACE_S = 2.0
-"""Seconds for which an attempt may run unknown to the owner."""
+"""Seconds for which an engine may run an attempt that its owner doesn't know."""
 
 
 class UnknownAttempts:
     """When each unknown attempt was first seen, by engine and attempt.
 
     After its shard has changed owners, an attempt may be unknown for a moment, until its entry box
-    has announced it. After the grace period no box is left to do that.
+    has announced it. An attempt that is still unknown after the grace period has no box left to
+    announce it.
     """
 
     def __init__(self) -> None:
--- a/src/croftchute/systems/worker_advice.py
+++ b/src/croftchute/systems/worker_advice.py
@@ -1,4 +1,4 @@
-"""What workers announce in their answers: that they are leaving, or want a backoff.
+"""What workers announce in their answers: that they are leaving, or ask for a backoff.
 
 This is kept per instance and apart from the worker list: a list entry may expire with the store and
 come back older than the worker's own announcement. Methods do no I/O; times are seconds of a
@@ -19,7 +19,7 @@
 
 MAX_REQUESTS_IN_BACKOFF = 1
 """Requests sent to a worker in backoff if no other can serve them. The platform allows two; the
-second is reserved for one that was already on the way when the worker asked for the backoff."""
+second is left for a request that was already on its way when the worker asked for the backoff."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
@@ -83,8 +83,8 @@
     def note_backoff(self, worker_id: str, backoff_s: float, now: float) -> None:
         """Record that a worker wants no requests for a while.
 
-        If a backoff is already running, the later end counts, and requests sent during it still
-        count against the limit.
+        If a backoff is already running, it ends at the later of both times, and requests sent
+        during it still count toward :data:`MAX_REQUESTS_IN_BACKOFF`.
         """
         backoff = self._backoffs_by_id.get(worker_id)
         if backoff is None or backoff.until <= now:
--- a/src/croftchute/systems/worker_choice.py
+++ b/src/croftchute/systems/worker_choice.py
@@ -21,16 +21,18 @@
 fault may lie in that box's own links."""
 
 MAX_PEER_FAILURES = 4.0
-"""Most peer failures that count: many boxes see the same crash."""
+"""Upper bound of the peers' summed failure scores, since many boxes report the same crash."""
 
 TYPICAL_DECODE_TOKENS = 5000
 """Assumed KV cache tokens of another box's request, since peers don't report its size."""
 
 OTHER_HALL_COST = 0.12
-"""Cost of a worker in another hall, as much as a few requests at one in the same hall."""
+"""Extra cost of a worker in another hall: it is chosen only if the workers in the same hall have a
+few more requests."""
 
 LATENCY_COST = 0.5
-"""Cost of taking twice the usual time."""
+"""Cost of a latency that is twice the median of the candidates; greater latencies cost
+proportionally more."""
 
 MAX_CANDIDATES = 12
 """Workers compared for one choice in a large service; comparing more improves the choice little.
--- a/src/croftchute/systems/worker_limits.py
+++ b/src/croftchute/systems/worker_limits.py
@@ -15,8 +15,8 @@
 
 LIMIT_END_DELAY_S = 4.0
 """Seconds after the last answer with a limit before an answer without one ends the limit. Answers
-may arrive out of order, and some kinds of answer may omit the limit, so a single one proves
-little."""
+may arrive out of order, and some kinds of answer may omit the limit, so a single answer without one
+doesn't show that the limit has ended."""
 
 UNLISTED_TTL_S = 600.0
 """Seconds for which the limit of an unlisted worker is kept. Its entry may come back from a copy of
@@ -28,8 +28,8 @@
 
 ECHO_TOLERANCE_S = 0.05
 """Seconds by which another box's report must be newer than the known one if both give the same
-limit. A report that circulates among boxes ages by less than the elapsed time and would otherwise
-seem newer each time."""
+limit. The age of a forwarded report excludes the network delay, so a report that circulates among
+boxes would otherwise seem newer with each hop."""
 
 ENDED_LIMIT_TTL_S = 10.0
 """Seconds for which an ended limit is remembered, as other boxes may still report it."""
--- a/src/croftchute/systems/worker_table.py
+++ b/src/croftchute/systems/worker_table.py
@@ -1,6 +1,6 @@
 """The router's table of workers: listed state, own requests and recent failures.
 
-The table does no I/O and takes the present time as an argument. Times are seconds of a monotonic
+The table does no I/O and takes the current time as an argument. Times are seconds of a monotonic
 clock.
 """
 
@@ -18,20 +18,20 @@
 from croftchute.tables.routing import Stage, Worker, WorkerState
 
 LATENCY_EWMA_WEIGHT = 0.3
-"""Weight of the newest answer in a worker's moving average of latency; a few answers determine
-it."""
+"""Weight of the newest answer in a worker's moving average of latency, which follows a change
+within a few answers."""
 
 GAP_EWMA_WEIGHT = 0.1
-"""Weight of the newest gap in a worker's moving average of gaps between stream chunks; about ten
-gaps determine it."""
+"""Weight of the newest gap in a worker's moving average of gaps between stream chunks, which
+follows a change within about ten gaps."""
 
 MAX_FAILURE_SCORE = 8.0
-"""Upper bound of a failure score; a capped score falls below a tenth of it after four
-half-lives."""
+"""Upper bound of a failure score, to limit recovery time: less than a tenth of the score is left
+after four half-lives."""
 
 MASS_EXPIRY_GRACE_S = 2.0
-"""Seconds for which workers are still used after their entries expired together. Live workers
-register again within about that time."""
+"""Seconds for which workers stay usable after their entries expired together. Live workers register
+again within about two seconds."""
 
 MASS_EXPIRY_RATIO = 0.5
 """Share of a service's entries that must disappear at once to count as a mass expiry."""
@@ -71,9 +71,10 @@
 class WorkerTable:
     """All known worker instances by id.
 
-    ``revision`` is the store's revision of the newest change. ``mass_expiry_grace_s`` is how long
-    workers stay usable after their entries expired together, as happens after a store outage: live
-    workers register again within about two seconds.
+    ``revision`` is the store's revision of the newest change; ``heard_at`` is when the store last
+    sent a listing or changes. ``mass_expiry_grace_s`` is how long workers stay usable after their
+    entries expired together, as happens after a store outage: live workers register again within
+    about two seconds.
     """
 
     revision: int = 0
@@ -95,7 +96,7 @@
         if current is not None and _is_older(item, current):
             return False
         if worker.state is WorkerState.DRAINING:
-            # The list doesn't say since when: work sent as a last resort could come too late.
+            # The entry doesn't say since when, so the worker may no longer accept last-resort work.
             self.advice.note_leaving(worker.id, now, known_for_s=math.inf)
         if current is not None and current.worker.id != worker.id:
             self._mark_restarted(current, now)
@@ -206,7 +207,7 @@
         by_availability = self._by_availability(service, now, stage)
         if by_availability.listed or by_availability.last_resorts:
             return by_availability.listed or by_availability.last_resorts
-        # A stream takes two requests, so engines in backoff, which may get one, get no stream.
+        # A stream needs two requests but a backoff allows one, so engines in backoff get none.
         return [
             tracked
             for tracked in by_availability.in_backoff
@@ -288,14 +289,14 @@
             tracked.tokens_in_flight += tokens
 
     def note_request_ended(self, worker_id: str, tokens: int) -> None:
-        """Count a request that has ended at a worker."""
+        """Stop counting a request that has ended at a worker."""
         tracked = self.tracked_by_id.get(worker_id)
         if tracked is not None:
             tracked.in_flight -= 1
             tracked.tokens_in_flight -= tokens
 
     def note_answer(self, worker_id: str, latency_s: float, now: float) -> None:
-        """Record an answer in time: update the latency and halve the failure score."""
+        """Record an answer that came in time: update the latency and halve the failure score."""
         tracked = self.tracked_by_id.get(worker_id)
         if tracked is None:
             return
--- a/src/croftchute/tables/crashes.py
+++ b/src/croftchute/tables/crashes.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 
 DIGEST_BYTES = 16
-"""Length of a request's digest: two remembered requests don't collide by chance."""
+"""Length of a request's digest, long enough to rule out accidental collisions."""
 
 
 def request_digest(*, caller: str, method: str, host: str, target: str, body: bytes) -> str:
--- a/tests/systems/crash_simulation.py
+++ b/tests/systems/crash_simulation.py
@@ -26,6 +26,8 @@
 RESTART_DELAY_S = 4.0
 ATTEMPTS = 2
 NOTICE_DEADLINE_S = 3.0
+"""Seconds after which a connected box must know of a crash, and a new box counts as connected."""
+
 STREAM_S = 3.0
 
 
@@ -160,7 +162,7 @@
         self.instances[worker] = f"w{worker}-{next(self._numbers)}"
         self.alive.append(worker)
 
-    # HealthyRequest requests.
+    # Healthy requests.
 
     def _send_healthy(self):
         healthy = HealthyRequest(
@@ -197,9 +199,9 @@
     # Results.
 
     def late_arrivals(self, digest):
-        """Count arrivals at workers that come later than the refusal should be known.
+        """Count arrivals at workers after the time by which all boxes must know the refusal.
 
-        Only arrivals from boxes that have been connected for a while count.
+        Arrivals from boxes that started less than the notice deadline before don't count.
         """
         ended = sorted(self.ended_at.get(digest, []))
         if len(ended) < 3:
--- a/tests/systems/test_crash_records.py
+++ b/tests/systems/test_crash_records.py
@@ -59,7 +59,7 @@
 
 
 def test_bystanders_of_a_request_with_more_crashes_are_not_refused():
-    """All crashes of the bystander also stand on the record of the request present each time."""
+    """All crashes of the bystander are also on the record of the request that caused them."""
     records = CrashRecords()
     record_crashes(records, "bad", "w1", "w2", "w3", "w4")
     record_crashes(records, "beside", "w2", "w3", "w4")
--- a/tests/systems/test_worker_choice.py
+++ b/tests/systems/test_worker_choice.py
@@ -101,7 +101,7 @@
 
 
 def test_affinity_compares_the_same_workers_for_a_prompt_at_every_box():
-    """After a restart of all boxes, none knew which of 62 engines had a prompt cached."""
+    """After a restart of all boxes, none of them knows which of 62 engines has a prompt cached."""
     table = table_of(*(worker(f"w{number}") for number in range(60)))
     usable = table.usable("s", 0.0)
 
--- a/tests/systems/test_worker_table.py
+++ b/tests/systems/test_worker_table.py
@@ -122,7 +122,7 @@
 
 
 def test_workers_stay_usable_after_a_mass_expiry():
-    """Without this, the first worker that registered again got the work of all."""
+    """Otherwise the first worker that registers again would get the work of all."""
     table = listed("a", "b", "c")
     assert table.remove(["a", "b", "c"], 1.0) == ["a", "b", "c"]
     table.upsert(worker("b"), 1.3)
@@ -174,7 +174,7 @@
 
 
 def test_worker_changing_its_stage_gets_no_work_until_it_is_listed():
-    """A worker granted room and then refused the work, which lost a call that may be sent once."""
+    """Otherwise a worker may grant room, then reject the call; one that is sent once is lost."""
     table = WorkerTable()
     table.upsert(worker("a", stage=Stage.PREFILL), 0.0)
     table.upsert(worker("b", stage=Stage.PREFILL), 0.0)
