--- a/src/croftchute/forwarding/workers/advice_recording.py
+++ b/src/croftchute/forwarding/workers/advice_recording.py
@@ -25,10 +25,10 @@
     if advice.is_leaving and table.note_leaving(worker.id, now):
         state.metrics.wishes.inc({"wish": "leaving", "call": call})
         _log(state, Decision.WORKER_LEAVING, worker, head, call)
-    if advice.rest_s > 0.0:
-        table.note_backoff(worker.id, advice.rest_s, now)
+    if advice.backoff_s > 0.0:
+        table.note_backoff(worker.id, advice.backoff_s, now)
         state.metrics.wishes.inc({"wish": "rest", "call": call})
-        _log(state, Decision.WORKER_RESTS, worker, head, call, rest_s=round(advice.rest_s, 3))
+        _log(state, Decision.WORKER_RESTS, worker, head, call, rest_s=round(advice.backoff_s, 3))
     _record_limit(state, worker, head, advice, call=call)
 
 
@@ -40,7 +40,7 @@
     limits = state.workers.limits
     if advice.limit_per_s is None:
         is_its_own = state.workers_speak.verdict(head) is not Verdict.WRONG_WORKER
-        if limits.by_id and is_its_own and not advice.has_odd_limit:
+        if limits.by_id and is_its_own and not advice.has_invalid_limit:
             limits.note_no_limit(worker.id, now)
     elif limits.note_limit(worker.id, advice.limit_per_s, now):
         state.metrics.wishes.inc({"wish": "limit", "call": call})
--- a/src/croftchute/systems/worker_advice.py
+++ b/src/croftchute/systems/worker_advice.py
@@ -1,4 +1,4 @@
-"""What workers announce in their answers: that they are leaving, or want a backoff.
+"""What workers announce in their answers: that they are leaving, or ask for a backoff.
 
 This is kept per instance and apart from the worker list: a list entry may expire with the store and
 come back older than the worker's own announcement. Methods do no I/O; times are seconds of a
@@ -19,23 +19,23 @@
 
 MAX_REQUESTS_IN_BACKOFF = 1
 """Requests sent to a worker in backoff if no other can serve them. The platform allows two; the
-second is reserved for one that was already on the way when the worker asked for the backoff."""
+second is left for a request that was already on its way when the worker asked for the backoff."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class WorkerAdvice:
     """What one answer announces about its worker.
 
-    ``is_leaving``: the worker takes no new work until it ends. ``rest_s``: the worker wants no
+    ``is_leaving``: the worker takes no new work until it ends. ``backoff_s``: the worker wants no
     request from this box for that many seconds; 0 if it names none. ``limit_per_s``: the requests
     per second that the worker accepts from all boxes together; None if it names no valid limit.
-    ``has_odd_limit``: it named a limit that can't be parsed.
+    ``has_invalid_limit``: it named a limit that can't be parsed.
     """
 
     is_leaving: bool = False
-    rest_s: float = 0.0
+    backoff_s: float = 0.0
     limit_per_s: float | None = None
-    has_odd_limit: bool = False
+    has_invalid_limit: bool = False
 
 
 NO_ADVICE = WorkerAdvice()
@@ -80,18 +80,18 @@
         self.leaving_by_id[worker_id] = _Leaving(since=now - known_for_s, heard_at=now)
         return True
 
-    def note_backoff(self, worker_id: str, rest_s: float, now: float) -> None:
+    def note_backoff(self, worker_id: str, backoff_s: float, now: float) -> None:
         """Record that a worker wants no requests for a while.
 
-        If a backoff is already running, the later end counts, and requests sent during it still
-        count against the limit.
+        If a backoff is already running, it ends at the later of both times, and requests sent
+        during it still count toward :data:`MAX_REQUESTS_IN_BACKOFF`.
         """
         backoff = self._backoffs_by_id.get(worker_id)
         if backoff is None or backoff.until <= now:
-            self._backoffs_by_id[worker_id] = _Backoff(until=now + rest_s)
+            self._backoffs_by_id[worker_id] = _Backoff(until=now + backoff_s)
             self._drop_expired_backoffs(now)
             return
-        backoff.until = max(backoff.until, now + rest_s)
+        backoff.until = max(backoff.until, now + backoff_s)
 
     def note_sent(self, worker_id: str, now: float) -> None:
         """Count a request sent to a worker, if the worker is in backoff."""
--- a/src/croftchute/systems/worker_choice.py
+++ b/src/croftchute/systems/worker_choice.py
@@ -21,16 +21,18 @@
 fault may lie in that box's own links."""
 
 MAX_PEER_FAILURES = 4.0
-"""Most peer failures that count: many boxes see the same crash."""
+"""Upper bound of the peers' summed failure scores, since many boxes report the same crash."""
 
 TYPICAL_DECODE_TOKENS = 5000
 """Assumed KV cache tokens of another box's request, since peers don't report its size."""
 
 OTHER_HALL_COST = 0.12
-"""Cost of a worker in another hall, as much as a few requests at one in the same hall."""
+"""Extra cost of a worker in another hall: it is chosen only if the workers in the same hall have a
+few more requests."""
 
 LATENCY_COST = 0.5
-"""Cost of taking twice the usual time."""
+"""Cost of a latency that is twice the median of the candidates; greater latencies cost
+proportionally more."""
 
 MAX_CANDIDATES = 12
 """Workers compared for one choice in a large service; comparing more improves the choice little.
@@ -95,11 +97,11 @@
 def cost_of(tracked: TrackedWorker, context: ChoiceContext, now: float) -> float:
     """Return the cost of one more request at a worker, in units of a fully loaded worker."""
     worker = tracked.worker
-    elsewhere = other_boxes_load(tracked, context, now)
-    cost = (tracked.in_flight + elsewhere) / max(1, worker.slots)
+    others_load = other_boxes_load(tracked, context, now)
+    cost = (tracked.in_flight + others_load) / max(1, worker.slots)
     if context.kv_tokens > 0:
         cost += tracked.tokens_in_flight / context.kv_tokens
-        cost += elsewhere * TYPICAL_DECODE_TOKENS / context.kv_tokens
+        cost += others_load * TYPICAL_DECODE_TOKENS / context.kv_tokens
     cost += FAILURE_COST * tracked.failure_score(now)
     cost += PEER_FAILURE_COST * min(MAX_PEER_FAILURES, context.peers.failures(worker.id, now))
     zone, typical_s = context.zone, context.typical_s
