--- a/src/croftchute/forwarding/workers/load_probe.py
+++ b/src/croftchute/forwarding/workers/load_probe.py
@@ -69,7 +69,7 @@
     data = state.workers_speak.ask_health(worker, path)
     try:
         exchange = control_exchange(state, worker, data, LATE_PROBE_TIMEOUT_S)
-        head, _ = await within(exchange, LATE_PROBE_TIMEOUT_S, "no answer to a load probe in time")
+        head, _ = await within(exchange, LATE_PROBE_TIMEOUT_S, "no answer to a load probe")
     except ExchangeError:
         return
     load = state.workers_speak.load(head)
--- a/src/croftchute/forwarding/workers/worker_call.py
+++ b/src/croftchute/forwarding/workers/worker_call.py
@@ -137,7 +137,7 @@
     async def read_chunk(self, timeout_s: float) -> bytes:
         """Read the next chunk of the body; empty at its end."""
         assert self.connection is not None
-        return await within(self.connection.read_part(), timeout_s, "no chunk of the body in time")
+        return await within(self.connection.read_part(), timeout_s, "no chunk of the body")
 
     async def read_body(self, timeout_s: float) -> bytes:
         """Read the rest of the answer."""
