--- a/src/croftchute/systems/service_capacity.py
+++ b/src/croftchute/systems/service_capacity.py
@@ -136,8 +136,9 @@
         return decode_rate
     # Decode workers spend part of their time on local prefills and run streams in the rest.
     local_prefill_s = prefill_s / LOCAL_PREFILL_SPEED_RATIO
-    workers = decode_workers + prefill_capacity / LOCAL_PREFILL_SPEED_RATIO
-    return workers / (decode_work_s + local_prefill_s)
+    return (decode_workers + prefill_capacity / LOCAL_PREFILL_SPEED_RATIO) / (
+        decode_work_s + local_prefill_s
+    )
 
 
 def best_split(workers: int, averages: RequestAverages, capacity: EngineCapacity) -> StageSplit:
