--- a/src/croftchute/forwarding/state.py
+++ b/src/croftchute/forwarding/state.py
@@ -160,7 +160,7 @@
 
     @property
     def is_stopping(self) -> bool:
-        """Whether the process was told to end."""
+        """Whether the process was asked to end."""
         return self.stop_began_at is not None
 
     def is_ending(self, now: float) -> bool:
@@ -224,8 +224,8 @@
 
     def prefill_wait_s(self, tracked: TrackedWorker) -> float:
         """The same by what all boxes know."""
-        told_s = self.peers.prefill_wait_s(tracked.worker.id, self.clock())
-        return max(told_s, self.own_prefill_wait_s(tracked))
+        reported_s = self.peers.prefill_wait_s(tracked.worker.id, self.clock())
+        return max(reported_s, self.own_prefill_wait_s(tracked))
 
     def note_position(self, at: int) -> None:
         """Something is known as of a position of the store; a newer era ends what hung on it."""
--- a/src/croftchute/systems/worker_pace.py
+++ b/src/croftchute/systems/worker_pace.py
@@ -124,7 +124,7 @@
 
 @dataclass(kw_only=True, slots=True)
 class _WorkerRecord:
-    """What is known about one life of a worker.
+    """What is known about one worker process.
 
     ``own_report`` is what the worker reported to this box, and is sent to peers; ``report`` may be
     from a peer.
@@ -166,7 +166,7 @@
 
 @dataclass(kw_only=True)
 class WorkerPaces:
-    """Paces of all workers, by the id of their life; a new life starts at the prior."""
+    """Paces of all workers, by worker id; a new process starts at the prior."""
 
     _by_id: dict[str, _WorkerRecord] = field(default_factory=dict)
 
@@ -295,7 +295,7 @@
         return tuple(notice for _, notice in newest)
 
     def _expire_records(self, now: float) -> None:
-        """Drop records without recent figures: the worker is idle, or its life ended."""
+        """Drop records without recent figures: the worker is idle, or its process ended."""
         expired = [
             key for key, record in self._by_id.items() if now - record.updated_at > RECORD_TTL_S
         ]
@@ -303,7 +303,7 @@
             del self._by_id[worker_id]
 
     def forget(self, worker_id: str) -> None:
-        """Drop the record of a worker whose life has ended."""
+        """Drop the record of a worker process that has ended."""
         self._by_id.pop(worker_id, None)
 
 
--- a/src/croftchute/systems/worker_table.py
+++ b/src/croftchute/systems/worker_table.py
@@ -98,7 +98,7 @@
             # The list doesn't say since when: work sent as a last resort could come too late.
             self.advice.note_leaving(worker.id, now, known_for_s=math.inf)
         if current is not None and current.worker.id != worker.id:
-            self._end_life(current, now)
+            self._end_process(current, now)
         tracked = self.tracked_by_id.get(worker.id)
         if tracked is None:
             self._add(TrackedWorker(worker=worker, listed_at=now, item=item))
@@ -258,7 +258,7 @@
         self._tracked_by_service.setdefault(worker.service, {})[worker.id] = tracked
         self._current_by_name[worker.list_name] = tracked
 
-    def _end_life(self, tracked: TrackedWorker, now: float) -> None:
+    def _end_process(self, tracked: TrackedWorker, now: float) -> None:
         """Mark an instance as ended because its worker has restarted."""
         if tracked.gone_at is None:
             tracked.gone_at = now
