--- a/src/croftchute/systems/worker_pace.py
+++ b/src/croftchute/systems/worker_pace.py
@@ -131,7 +131,7 @@
 
 @dataclass(kw_only=True, slots=True)
 class _WorkerRecord:
-    """Reports and observations of one life of a worker, from its start to its end.
+    """Reports and observations of one worker process, from its start to its end.
 
     ``own_report`` is the latest report to this box, which is sent to peers; ``report`` is the
     latest one to any box.
